--- a/packages/core/fulmarward_core/layers/__init__.py
+++ b/packages/core/fulmarward_core/layers/__init__.py
@@ -1,4 +1,4 @@
-"""Which layers each engine shall hold."""
+"""Assignment of model layers to engines."""
 
 from fulmarward_core.layers.decisions import (
     Assignment,
--- a/packages/core/fulmarward_core/layers/decisions/__init__.py
+++ b/packages/core/fulmarward_core/layers/decisions/__init__.py
@@ -1,11 +1,14 @@
-"""Which layers each engine shall hold, at the start and after losses.
+"""Assignment of model layers to engines, initially and after engines are lost.
 
-An engine's memory is shared by weights and KV cache, so the number of its layers
-is a choice. Four things count: every layer is held; each data centre holds the whole
-model if it can (a prompt's activations between data centres fill the pipe for tens of
-ms); an answer's tokens pass through fast engines for as many layers as these can hold;
-and the engine with the least room for KV cache has as much as possible, since a request
-needs room on every engine of its path.
+Weights and KV cache share an engine's memory, so the number of layers per engine is a
+trade-off. The planner aims for the following:
+
+- Every layer is held by some engine.
+- Each data centre holds the whole model if its memory allows it, since sending a
+  prompt's activations between data centres fills the pipe for tens of ms.
+- The tokens of an answer pass through fast engines for as many layers as these hold.
+- The smallest KV cache of any engine is as large as possible, since a request needs
+  KV cache on every engine of its path.
 """
 
 from fulmarward_core.layers.decisions._coverage import count_holders, find_gaps
--- a/packages/core/fulmarward_core/layers/decisions/_cover.py
+++ b/packages/core/fulmarward_core/layers/decisions/_cover.py
@@ -1,4 +1,4 @@
-"""Ranges that cover all layers, at the least cost from the ranges that are held."""
+"""Search for the cheapest changes of ranges after which all layers are covered."""
 
 from collections import deque
 from collections.abc import Callable, Iterator, Mapping, Sequence
@@ -6,8 +6,8 @@
 
 from fulmarward_core.fleet import LayerRange
 
-#: Costs that count one before the other: targets that move, targets that take more
-#: layers beside those that they hold, layers that are loaded.
+#: Costs of moving a target, of extending its range and of loading one layer. Their
+#: magnitudes make the first outweigh the second, and the second the third.
 _MOVE, _EXTENSION, _LOAD = 1e3, 10.0, 0.01
 
 
@@ -17,34 +17,34 @@
 
     name: str
     held: LayerRange
-    #: Most layers that it may hold.
+    #: Maximum number of layers.
     size: int
-    #: Whether it may be given other layers.
+    #: Whether its range may be changed.
     is_free: bool
-    #: Whether it may move anywhere, since others hold all that it holds.
+    #: Whether it may move to any range, since other targets hold all its layers.
     is_spare: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class Change:
-    """Another range for a target."""
+    """A new range for a target."""
 
     name: str
     layers: LayerRange
-    #: `extended` beside what it holds, `moved` (a spare one) or `shifted`.
+    #: `extended` (adjacent layers added), `moved` (a spare target) or `shifted`.
     kind: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class _Step:
-    """The cheapest way to have all layers below a point covered, and how it ends."""
+    """The last step of the cheapest way to cover all layers below a boundary."""
 
     cost: float
     change: Change | None
-    before: "_Step | None"
+    previous: "_Step | None"
 
 
-#: A point up to which layers are covered, and the spare holders that are used.
+#: The boundary up to which layers are covered, and the spare holders used so far.
 _State = tuple[int, frozenset[str]]
 
 
@@ -54,16 +54,17 @@
     *,
     may_shift: Callable[[Holder, LayerRange], bool],
 ) -> list[Change] | None:
-    """Return the changes after which all layers are covered, `None` if none do that.
+    """Return the cheapest changes that cover all layers, `None` if there are none.
 
-    Holders keep their order by layers, but for spare ones. `may_shift` says whether one
-    that is not spare may give up what it holds beside a range.
+    Dynamic programming over holders in the order of their layers; only spare holders
+    may leave this order. `may_shift` tells whether a holder that is not spare may give
+    up the layers that it holds outside the given range.
     """
     ordered = sorted(holders, key=lambda item: (item.held, item.name))
     spares = [item for item in holders if item.is_spare and item.is_free]
     spares.sort(key=lambda item: item.name)
     steps: dict[_State, _Step] = {
-        (0, frozenset()): _Step(cost=0.0, change=None, before=None)
+        (0, frozenset()): _Step(cost=0.0, change=None, previous=None)
     }
     _use_spares(layers, steps, spares)
     for holder in ordered:
@@ -72,21 +73,21 @@
             if holder.name in used:
                 continue
             for new_end, cost, change in _list_options(layers, holder, end, may_shift):
-                now_used = used | {holder.name} if holder.is_spare else used
-                reached = _Step(cost=step.cost + cost, change=change, before=step)
-                _put(found, (new_end, now_used), reached)
+                new_used = used | {holder.name} if holder.is_spare else used
+                reached = _Step(cost=step.cost + cost, change=change, previous=step)
+                _keep_cheapest(found, (new_end, new_used), reached)
         steps = found
         _use_spares(layers, steps, spares)
     ends = [step for (end, _), step in steps.items() if end >= layers]
     if not ends:
         return None
-    least = min(step.cost for step in ends)
-    ways = [_list_changes(step) for step in ends if step.cost == least]
-    best = min(ways, key=lambda changes: [change.name for change in changes])
-    return _trim(best, ordered)
+    min_cost = min(step.cost for step in ends)
+    candidates = [_list_changes(step) for step in ends if step.cost == min_cost]
+    best = min(candidates, key=lambda changes: [change.name for change in changes])
+    return _trim_extensions(best, ordered)
 
 
-def _put(steps: dict[_State, _Step], state: _State, step: _Step) -> None:
+def _keep_cheapest(steps: dict[_State, _Step], state: _State, step: _Step) -> None:
     known = steps.get(state)
     if known is None or step.cost < known.cost:
         steps[state] = step
@@ -95,10 +96,10 @@
 def _use_spares(
     layers: int, steps: dict[_State, _Step], spares: Sequence[Holder]
 ) -> None:
-    """Add the states that are reached by moving spare holders."""
-    waiting = deque(steps.items())
-    while waiting:
-        (end, used), step = waiting.popleft()
+    """Add the states that moving spare holders leads to."""
+    queue = deque(steps.items())
+    while queue:
+        (end, used), step = queue.popleft()
         if end >= layers:
             continue
         for spare in spares:
@@ -108,12 +109,12 @@
             moved = LayerRange(start=max(0, start), end=max(0, start) + spare.size)
             change = Change(name=spare.name, layers=moved, kind="moved")
             cost = step.cost + _MOVE + _LOAD * spare.size
-            reached = _Step(cost=cost, change=change, before=step)
+            reached = _Step(cost=cost, change=change, previous=step)
             state = (moved.end, used | {spare.name})
             known = steps.get(state)
             if known is None or cost < known.cost:
                 steps[state] = reached
-                waiting.append((state, reached))
+                queue.append((state, reached))
 
 
 def _list_options(
@@ -122,7 +123,7 @@
     end: int,
     may_shift: Callable[[Holder, LayerRange], bool],
 ) -> Iterator[tuple[int, float, Change | None]]:
-    """Yield how far a holder covers when all is covered up to `end`, and its cost."""
+    """Yield the boundary, cost and change of each use of a holder from `end` on."""
     held = holder.held
     if held.start <= end < held.end:
         yield held.end, 0.0, None
@@ -139,27 +140,29 @@
         return
     shifted = LayerRange(start=start, end=start + holder.size)
     if may_shift(holder, shifted):
-        loaded = len(shifted) - _count_common(held, shifted)
+        loaded = len(shifted) - _count_shared(held, shifted)
         change = Change(name=holder.name, layers=shifted, kind="shifted")
         yield shifted.end, _MOVE + _LOAD * loaded, change
 
 
-def _count_common(one: LayerRange, other: LayerRange) -> int:
+def _count_shared(one: LayerRange, other: LayerRange) -> int:
     return max(0, min(one.end, other.end) - max(one.start, other.start))
 
 
 def _list_changes(step: _Step) -> list[Change]:
     changes = []
-    at: _Step | None = step
-    while at is not None:
-        if at.change is not None:
-            changes.append(at.change)
-        at = at.before
+    current: _Step | None = step
+    while current is not None:
+        if current.change is not None:
+            changes.append(current.change)
+        current = current.previous
     return changes[::-1]
 
 
-def _trim(changes: Sequence[Change], holders: Sequence[Holder]) -> list[Change]:
-    """Return the changes, no range extended further than it is needed."""
+def _trim_extensions(
+    changes: Sequence[Change], holders: Sequence[Holder]
+) -> list[Change]:
+    """Return the changes, with each extension cut to the layers that are needed."""
     held: Mapping[str, LayerRange] = {item.name: item.held for item in holders}
     moved = {change.name: change.layers for change in changes}
     trimmed = []
@@ -181,7 +184,7 @@
 def _shrink(
     wanted: LayerRange, held: LayerRange, others: Sequence[LayerRange]
 ) -> LayerRange:
-    """Return the part of a range, around what is held, that no other covers."""
+    """Return `wanted` without the layers outside `held` that others cover."""
 
     def is_covered(layer: int) -> bool:
         return any(other.start <= layer < other.end for other in others)
--- a/packages/core/fulmarward_core/layers/decisions/_coverage.py
+++ b/packages/core/fulmarward_core/layers/decisions/_coverage.py
@@ -1,4 +1,4 @@
-"""Which layers are held, and how often."""
+"""Holders per layer, and gaps between the ranges held."""
 
 from collections.abc import Callable, Iterable
 from itertools import pairwise
@@ -7,7 +7,7 @@
 
 
 def count_holders(layers: int, ranges: Iterable[LayerRange]) -> list[int]:
-    """Return for each layer how many ranges hold it."""
+    """Return the number of ranges that hold each layer."""
     counts = [0] * layers
     for held in ranges:
         for layer in range(held.start, min(held.end, layers)):
@@ -16,20 +16,20 @@
 
 
 def choose_range(
-    layers: int, size: int, weigh: Callable[[slice], tuple[int, ...]]
+    layers: int, size: int, score: Callable[[slice], tuple[int, ...]]
 ) -> LayerRange:
-    """Return the first of the ranges of `size` layers that weigh least.
+    """Return the first range of `size` layers with the lowest score.
 
-    `weigh` is given each range as a slice of a list with an entry for each layer.
+    `score` receives each range as a slice of a list with one entry per layer.
     """
     start = min(
-        range(layers - size + 1), key=lambda start: weigh(slice(start, start + size))
+        range(layers - size + 1), key=lambda start: score(slice(start, start + size))
     )
     return LayerRange(start=start, end=start + size)
 
 
 def find_gaps(layers: int, ranges: Iterable[LayerRange]) -> list[LayerRange]:
-    """Return the runs of layers that no range holds, in order."""
+    """Return the runs of consecutive layers that no range holds, in order."""
     counts = count_holders(layers, ranges)
     edges = [
         0,
--- a/packages/core/fulmarward_core/layers/decisions/_gaps.py
+++ b/packages/core/fulmarward_core/layers/decisions/_gaps.py
@@ -1,6 +1,6 @@
-"""Closing gaps: layers that no target of a data centre holds any more.
+"""Closing of gaps: layers that no target of a data centre holds any more.
 
-A data centre without a whole copy of the model sends every prompt through the pipe
+A data centre without a complete copy of the model sends every prompt through the pipe
 that all data centres share.
 """
 
@@ -17,18 +17,18 @@
 )
 from fulmarward_core.layers.decisions._types import Assignment, LayerOrder
 
-#: KV cache that targets keep when they close a gap, in tokens. The largest that closes
-#: it is chosen; the smallest still holds ten requests of the usual size.
+#: KV cache that targets may be left with when they close a gap, in tokens, tried in
+#: this order. The smallest still holds ten requests of typical size.
 GAP_KV_TOKENS = (MIN_KV_TOKENS, 20_000, 10_000)
 
-#: KV cache that targets keep when some of them give up layers for it. With less, the
-#: data centre would carry fewer requests than the pipe does.
+#: The same when some targets give up layers. With less KV cache the data centre would
+#: serve fewer requests than go through the pipe without a complete model.
 SHIFT_KV_TOKENS = (MIN_KV_TOKENS, 20_000)
 
-#: Most targets that move into the gaps of a data centre.
+#: Maximum number of targets that move to close gaps of one data centre.
 MAX_MOVED = 3
 
-#: What the log calls each kind of change.
+#: Reason of the order for each kind of change.
 _REASONS = {"extended": "gap", "moved": "spare", "shifted": "shift"}
 
 
@@ -39,16 +39,16 @@
     ordered: AbstractSet[str],
     fast_kinds: frozenset[str],
 ) -> list[LayerOrder]:
-    """Return the orders that make data centres whole, where that is possible.
+    """Return orders that complete the model in each data centre, where possible.
 
-    `ranges` are held or ordered by now; the targets in `ordered` have an order that
-    does not show yet, and get no other.
+    `ranges` holds the ranges held or ordered. Targets in `ordered` have an order that
+    their records do not show yet, and get no other.
     """
     orders: list[LayerOrder] = []
     fleet = [target for target in targets if target.name in ranges]
     known = dict(ranges)
-    # The fleet as a whole comes last: where a layer is held by nobody, no data centre
-    # is whole, and several may have the memory together.
+    # The whole fleet comes last: a layer that nobody holds is missing in every data
+    # centre, and several data centres together may have the memory for it.
     for members in [*group_by_centre(fleet).values(), fleet]:
         if not find_gaps(engine.layers, [known[member.name] for member in members]):
             continue
@@ -75,27 +75,28 @@
     fast_kinds: frozenset[str],
     elsewhere: Sequence[int],
 ) -> list[Change]:
-    """Return the changes after which some targets hold the whole model.
+    """Return the changes after which `members` hold the whole model.
 
-    As much KV cache is left as can be. That a target gives up layers which no other of
-    them holds is the last way: what passes through it must end first, and these layers
-    are served by others only, of whom there are `elsewhere` so many for each layer.
+    Options that leave more KV cache are tried first. The last option is that a target
+    gives up layers that no other member holds: requests that use them must end first,
+    and afterwards only targets outside `members` serve these layers. `elsewhere` is
+    the number of their holders per layer.
     """
     if not can_hold_model(engine, members, GAP_KV_TOKENS[-1]):
         return []
     spares = _choose_spares(engine, members, ranges, busy, fast_kinds)
 
-    def has_others(holder: Holder, layers: LayerRange) -> bool:
+    def is_held_elsewhere(holder: Holder, layers: LayerRange) -> bool:
         given_up = set(range(holder.held.start, holder.held.end))
         given_up.difference_update(range(layers.start, layers.end))
         return all(elsewhere[layer] for layer in given_up)
 
-    def never(holder: Holder, layers: LayerRange) -> bool:
+    def forbid_shift(holder: Holder, layers: LayerRange) -> bool:
         return False
 
-    ways = [(kv_tokens, never) for kv_tokens in GAP_KV_TOKENS]
-    ways += [(kv_tokens, has_others) for kv_tokens in SHIFT_KV_TOKENS]
-    for kv_tokens, may_shift in ways:
+    options = [(kv_tokens, forbid_shift) for kv_tokens in GAP_KV_TOKENS]
+    options += [(kv_tokens, is_held_elsewhere) for kv_tokens in SHIFT_KV_TOKENS]
+    for kv_tokens, may_shift in options:
         sizes = size_ranges(engine, {m.kind for m in members}, kv_tokens)
         holders = [
             Holder(
@@ -120,10 +121,10 @@
     busy: AbstractSet[str],
     fast_kinds: frozenset[str],
 ) -> frozenset[str]:
-    """Return targets that may all move, since others hold what they hold.
+    """Return targets that may all move, since other targets hold their layers.
 
-    Slow ones go first: a fast one that moves is missing in the chain of fast ones that
-    the answers of all data centres pass through.
+    Slow targets come first: moving a fast one leaves a hole in the chain of fast
+    engines that answers of all data centres use.
     """
     counts = count_holders(engine.layers, _list_staying(members, ranges))
     spares: set[str] = set()
@@ -140,16 +141,16 @@
 def _list_staying(
     targets: Sequence[TargetRecord], ranges: Mapping[str, LayerRange]
 ) -> list[LayerRange]:
-    """Return the layers that targets hold now and will hold after their orders.
+    """Return the layers that targets hold both now and after their pending orders.
 
-    What is only ordered may not be there yet.
+    Layers that are only ordered may not be loaded yet.
     """
     staying = [_intersect(target.layers, ranges[target.name]) for target in targets]
     return [layers for layers in staying if layers is not None]
 
 
 def _intersect(held: LayerRange | None, wanted: LayerRange) -> LayerRange | None:
-    """Return the layers in both, `None` when there are none."""
+    """Return the layers in both ranges, `None` if there are none."""
     if held is None:
         return None
     start, end = max(held.start, wanted.start), min(held.end, wanted.end)
--- a/packages/core/fulmarward_core/layers/decisions/_plan.py
+++ b/packages/core/fulmarward_core/layers/decisions/_plan.py
@@ -1,4 +1,4 @@
-"""Layers for a fleet that holds none yet."""
+"""Initial assignment of layers to a fleet that holds none yet."""
 
 from collections.abc import Mapping, Sequence
 
@@ -24,41 +24,41 @@
 def plan_layers(
     engine: EngineModel, targets: Sequence[TargetRecord], *, instances: int
 ) -> list[Assignment]:
-    """Return the layers for a fleet that holds none yet, with that many instances.
+    """Return the initial layers of each target for a fleet with `instances` instances.
 
-    Fast engines of all data centres form a chain of their own, the slow ones of each
-    data centre a copy of the model. So an answer passes through fast engines for as
-    far as they reach, and goes on through slow ones of the same data centre; the loss
-    of a fast engine leaves the slow ones that hold its layers, and the loss of a slow
-    one is felt by few answers.
+    The fast engines of all data centres form one chain, and the slow engines of each
+    data centre form a copy of the model. An answer uses fast engines for the layers
+    that they cover and slow engines of the same data centre for the rest. When a fast
+    engine is lost, slow engines still hold its layers; the loss of a slow engine
+    affects few answers.
     """
     planned = _plan_by_speed(engine, targets, instances)
-    return _plan_evenly(engine, targets) if planned is None else planned
+    return _plan_uniformly(engine, targets) if planned is None else planned
 
 
 def _plan_by_speed(
     engine: EngineModel, targets: Sequence[TargetRecord], instances: int
 ) -> list[Assignment] | None:
-    """Plan fast and slow engines apart; `None` where that leaves a layer unheld."""
+    """Plan fast and slow engines separately; `None` if that leaves layers unheld."""
     fast_kinds = find_fast_kinds(engine, targets)
     fast = [target for target in targets if target.kind in fast_kinds]
     slow = [target for target in targets if target.kind not in fast_kinds]
     chain = _plan_chain(engine, fast, count_fast_kv(engine, instances))
     ranges = {item.target: item.layers for item in chain}
     planned = list(chain)
-    thin: list[TargetRecord] = []
+    incomplete: list[TargetRecord] = []
     for centre, members in group_by_centre(slow).items():
         if can_hold_model(engine, members, MIN_KV_TOKENS):
             planned += _plan_group(engine, members)
             continue
-        near = [ranges[t.name] for t in fast if t.data_centre == centre]
-        rest = _plan_beside(engine, members, near)
+        held_nearby = [ranges[t.name] for t in fast if t.data_centre == centre]
+        rest = _plan_complement(engine, members, held_nearby)
         if rest is None:
-            thin += members
+            incomplete += members
         else:
             planned += rest
-    if thin:
-        rest = _plan_beside(engine, thin, list(ranges.values()))
+    if incomplete:
+        rest = _plan_complement(engine, incomplete, list(ranges.values()))
         if rest is None:
             return None
         planned += rest
@@ -68,15 +68,15 @@
 def _plan_chain(
     engine: EngineModel, targets: Sequence[TargetRecord], kv_tokens: float
 ) -> list[Assignment]:
-    """Lay the ranges of fast engines end to end, those of a data centre together."""
+    """Assign consecutive ranges to fast engines, grouped by data centre."""
     sizes = size_ranges(engine, [target.kind for target in targets], kv_tokens)
-    return _lay_out(engine, _order_chain(engine, targets, sizes), sizes)
+    return _assign_consecutively(engine, _order_chain(engine, targets, sizes), sizes)
 
 
 def _order_chain(
     engine: EngineModel, targets: Sequence[TargetRecord], sizes: Mapping[str, int]
 ) -> list[TargetRecord]:
-    """Order fast engines by data centre, the one that holds most first."""
+    """Sort fast engines by data centre, the one with the most layers first."""
     held = {
         centre: count_layers(sizes, members)
         for centre, members in group_by_centre(targets).items()
@@ -92,92 +92,94 @@
     )
 
 
-def _plan_beside(
+def _plan_complement(
     engine: EngineModel, targets: Sequence[TargetRecord], held: Sequence[LayerRange]
 ) -> list[Assignment] | None:
-    """Plan targets that hold the whole model only together with ranges held already.
+    """Plan targets that complete the model only together with the ranges in `held`.
 
-    What is not held yet goes first, then what is held least. Returns `None` where a
-    layer is still unheld.
+    Layers without a holder come first, then those with the fewest holders. Returns
+    `None` if a layer is still without a holder.
     """
     sizes = size_ranges(engine, [target.kind for target in targets], MIN_KV_TOKENS)
     ranges = list(held)
     planned = []
-    for target in _mix_kinds(targets):
+    for target in _interleave_kinds(targets):
         size = sizes.get(target.kind, 0)
         if size == 0:
             continue
-        layers = _choose_thinnest(engine, size, ranges)
+        layers = _choose_least_held(engine, size, ranges)
         ranges.append(layers)
         planned.append(Assignment(target=target.name, layers=layers))
     return None if find_gaps(engine.layers, ranges) else planned
 
 
-def _choose_thinnest(
+def _choose_least_held(
     engine: EngineModel, size: int, ranges: Sequence[LayerRange]
 ) -> LayerRange:
-    """Return the `size` layers of which most are unheld, or that are held least."""
+    """Return the range of `size` layers with most unheld, then fewest holders."""
     counts = count_holders(engine.layers, ranges)
 
-    def weigh(span: slice) -> tuple[int, int]:
+    def score(span: slice) -> tuple[int, int]:
         return -counts[span].count(0), sum(counts[span])
 
-    return choose_range(engine.layers, size, weigh)
+    return choose_range(engine.layers, size, score)
 
 
-def _plan_evenly(
+def _plan_uniformly(
     engine: EngineModel, targets: Sequence[TargetRecord]
 ) -> list[Assignment]:
-    """Plan data centres that hold the whole model by themselves, the others together.
+    """Plan each data centre that can hold the model alone, and the others together.
 
-    All kinds keep the same KV cache. This is for fleets whose slow engines do not hold
-    what the fast ones leave.
+    All kinds keep the same KV cache. This is the fallback for fleets whose slow engines
+    cannot hold the layers that the fast ones leave.
     """
-    assignments, thin = [], []
+    assignments, incomplete = [], []
     for members in group_by_centre(targets).values():
         if can_hold_model(engine, members, MIN_KV_TOKENS):
             assignments += _plan_group(engine, members)
         else:
-            thin += members
-    if thin:
-        assignments += _plan_group(engine, thin)
+            incomplete += members
+    if incomplete:
+        assignments += _plan_group(engine, incomplete)
     return assignments
 
 
 def _plan_group(
     engine: EngineModel, targets: Sequence[TargetRecord]
 ) -> list[Assignment]:
-    """Plan for targets that form whole copies among themselves, if they can.
+    """Plan targets that form complete copies of the model, if their memory allows it.
 
-    Just whole copies are laid, so that most memory is KV cache.
+    Only complete copies are planned, which leaves the remaining memory to KV cache.
     """
-    ordered = _mix_kinds(targets)
+    ordered = _interleave_kinds(targets)
     names = [target.kind for target in ordered]
-    most = size_ranges(engine, names, MIN_KV_TOKENS)
-    copies = count_layers(most, ordered) // engine.layers
+    max_sizes = size_ranges(engine, names, MIN_KV_TOKENS)
+    copies = count_layers(max_sizes, ordered) // engine.layers
     if copies == 0:
-        return _lay_out(engine, ordered, most)
+        return _assign_consecutively(engine, ordered, max_sizes)
     for wanted in (copies, max(1, copies - 1)):
-        # Rounding at the end of each copy loses some layers, so ask for a few more.
-        for spare in range(engine.layers + 1):
-            kv_tokens = find_max_kv(engine, ordered, wanted * engine.layers + spare)
+        # Rounding at the end of each copy loses layers, so request some extra ones.
+        for extra in range(engine.layers + 1):
+            kv_tokens = find_max_kv(engine, ordered, wanted * engine.layers + extra)
             if kv_tokens < MIN_KV_TOKENS:
                 break
             sizes = size_ranges(engine, names, kv_tokens)
-            laid = _lay_out(engine, ordered, sizes)
-            holders = count_holders(engine.layers, [item.layers for item in laid])
+            assignments = _assign_consecutively(engine, ordered, sizes)
+            holders = count_holders(
+                engine.layers, [item.layers for item in assignments]
+            )
             if min(holders) >= wanted:
-                return laid
-    return _lay_out(engine, ordered, most)
+                return assignments
+    return _assign_consecutively(engine, ordered, max_sizes)
 
 
-def _lay_out(
+def _assign_consecutively(
     engine: EngineModel, targets: Sequence[TargetRecord], sizes: Mapping[str, int]
 ) -> list[Assignment]:
-    """Lay ranges end to end, beginning anew at layer 0 after the last one.
+    """Assign consecutive ranges, starting again at layer 0 after the last layer.
 
-    The last one before that reaches back over layers that the one before it holds,
-    rather than hold fewer: its memory would be idle, and they have two holders so.
+    The last range of a copy overlaps its predecessor instead of being shorter: a
+    shorter one would leave memory idle, and the overlap gives layers a second holder.
     """
     assignments = []
     position = 0
@@ -192,8 +194,8 @@
     return assignments
 
 
-def _mix_kinds(targets: Sequence[TargetRecord]) -> list[TargetRecord]:
-    """Order targets so that each part of the order has a share of every kind."""
+def _interleave_kinds(targets: Sequence[TargetRecord]) -> list[TargetRecord]:
+    """Sort targets so that the kinds are spread evenly over the order."""
     by_kind: dict[str, list[TargetRecord]] = {}
     for target in sorted(targets, key=lambda item: item.name):
         by_kind.setdefault(target.kind, []).append(target)
--- a/packages/core/fulmarward_core/layers/decisions/_repairs.py
+++ b/packages/core/fulmarward_core/layers/decisions/_repairs.py
@@ -1,4 +1,4 @@
-"""Layers for targets that came back empty, and for gaps that losses left."""
+"""Reassignment of layers to empty targets and to gaps after targets are lost."""
 
 from collections.abc import Mapping, Sequence
 
@@ -22,12 +22,12 @@
     *,
     instances: int,
 ) -> list[LayerOrder]:
-    """Return orders that give empty targets layers and close gaps.
+    """Return orders that assign layers to empty targets and close gaps.
 
-    `pending` are ranges ordered lately that the targets' records do not show yet.
-    A gap within a data centre is closed by its neighbours, which take more layers
-    beside those that they hold, or by targets that hold what others hold as well; that
-    moves no layer away from where requests run.
+    `pending` holds ranges that were ordered but do not show in the targets' records
+    yet. A gap within a data centre is closed by the holders of adjacent layers, which
+    extend their ranges, or by targets whose layers have other holders. Neither removes
+    layers that running requests need.
     """
     ranges = {
         target.name: layers
@@ -60,12 +60,12 @@
     ranges: Mapping[str, LayerRange],
     fast_kinds: frozenset[str],
 ) -> LayerRange | None:
-    """Return the range that an empty target helps most with.
+    """Return the range that an empty target should hold, `None` if it can hold none.
 
-    What its data centre lacks goes first, then the layers that are held least nearby
-    and everywhere. Before that a fast engine takes what the fast ones lack, where the
-    slow ones of its data centre have memory for the whole model. It is given as many
-    layers as it may hold, not just what closes a small gap.
+    Layers missing in its data centre come first, then those with the fewest holders in
+    the data centre and in the fleet. If the slow engines of its data centre have memory
+    for the whole model, a fast engine first fills gaps in the chain of fast engines.
+    The range has the maximum size even where fewer layers would close the gap.
     """
     if size == 0:
         return None
@@ -86,9 +86,9 @@
     everywhere = count(held)
     fast = count([item for item in held if item.kind in fast_kinds])
 
-    def weigh(span: slice) -> tuple[int, ...]:
-        lacking_fast = fast[span].count(0) if is_in_chain else 0
-        lacking = near[span].count(0)
-        return -lacking_fast, -lacking, sum(near[span]), sum(everywhere[span])
+    def score(span: slice) -> tuple[int, ...]:
+        missing_fast = fast[span].count(0) if is_in_chain else 0
+        missing = near[span].count(0)
+        return -missing_fast, -missing, sum(near[span]), sum(everywhere[span])
 
-    return choose_range(engine.layers, size, weigh)
+    return choose_range(engine.layers, size, score)
--- a/packages/core/fulmarward_core/layers/decisions/_sizes.py
+++ b/packages/core/fulmarward_core/layers/decisions/_sizes.py
@@ -1,24 +1,24 @@
-"""How many layers an engine of a kind may hold, and which kinds are fast."""
+"""Layer capacity of engines by kind, and which kinds count as fast."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
 from fulmarward_core.fleet import EngineModel, TargetRecord
 
-#: KV cache that an engine keeps beside its layers at least, in tokens: room for 40
-#: requests of the usual size.
+#: Minimum KV cache of an engine in tokens: enough for 40 requests of typical size.
 MIN_KV_TOKENS = 36_000
 
-#: How many times as long a step of the slowest kind must take for a kind to be fast.
+#: A kind counts as fast if a step of the slowest kind takes at least this many times
+#: as long.
 FAST_RATIO = 3.0
 
-#: Steps of the search for the KV cache that all engines can keep.
+#: Bisection steps of `find_max_kv`.
 _SEARCH_STEPS = 24
 
 
 def size_ranges(
     engine: EngineModel, kind_names: Iterable[str], kv_tokens: float
 ) -> dict[str, int]:
-    """Return for each kind the most layers that leave room for `kv_tokens`."""
+    """Return for each kind the most layers that leave memory for `kv_tokens`."""
     sizes = {}
     for name in set(kind_names):
         kind = engine.kinds.get(name)
@@ -33,14 +33,14 @@
 
 
 def count_layers(sizes: Mapping[str, int], targets: Sequence[TargetRecord]) -> int:
-    """Return how many layers the targets hold in sum, with sizes by kind."""
+    """Return the total number of layers of the targets, given sizes by kind."""
     return sum(sizes.get(target.kind, 0) for target in targets)
 
 
 def can_hold_model(
     engine: EngineModel, targets: Sequence[TargetRecord], kv_tokens: float
 ) -> bool:
-    """Return whether the targets have memory for all layers and `kv_tokens` each."""
+    """Return whether the targets can hold all layers and `kv_tokens` each."""
     sizes = size_ranges(engine, [target.kind for target in targets], kv_tokens)
     return count_layers(sizes, targets) >= engine.layers
 
@@ -48,32 +48,33 @@
 def find_max_kv(
     engine: EngineModel, targets: Sequence[TargetRecord], layers: int
 ) -> float:
-    """Return the most KV tokens that all can keep while they hold `layers` in sum."""
+    """Return the most KV tokens that each can keep with `layers` layers in total."""
     names = [target.kind for target in targets]
     low, high = 0.0, 4e6
     for _ in range(_SEARCH_STEPS):
-        middle = (low + high) / 2
-        if count_layers(size_ranges(engine, names, middle), targets) >= layers:
-            low = middle
+        kv_tokens = (low + high) / 2
+        if count_layers(size_ranges(engine, names, kv_tokens), targets) >= layers:
+            low = kv_tokens
         else:
-            high = middle
+            high = kv_tokens
     return low
 
 
 def count_fast_kv(engine: EngineModel, instances: int) -> float:
     """Return the KV cache that a fast engine keeps, in tokens.
 
-    Most answers pass through the few fast engines, and each instance may have sent one
-    that the others do not know of yet: there is room for one more request of each.
+    Most answers pass through the few fast engines, and each instance may have sent a
+    request that the others do not know of yet. So the KV cache has room for one more
+    request per instance.
     """
-    usual = engine.usual_prompt + engine.usual_answer
-    return MIN_KV_TOKENS + instances * usual
+    request_tokens = engine.usual_prompt + engine.usual_answer
+    return MIN_KV_TOKENS + instances * request_tokens
 
 
 def find_fast_kinds(
     engine: EngineModel, targets: Iterable[TargetRecord]
 ) -> frozenset[str]:
-    """Return the kinds whose steps are much shorter than the slowest kind's."""
+    """Return the kinds whose steps are `FAST_RATIO` times shorter than the slowest."""
     factors = {
         target.kind: engine.kinds[target.kind].step_factor
         for target in targets
@@ -88,7 +89,7 @@
 def group_by_centre(
     targets: Iterable[TargetRecord],
 ) -> dict[str, list[TargetRecord]]:
-    """Return the targets of each data centre, in order of its name."""
+    """Return the targets by data centre, sorted by its name."""
     by_centre: dict[str, list[TargetRecord]] = {}
     for target in sorted(targets, key=lambda item: item.data_centre):
         by_centre.setdefault(target.data_centre, []).append(target)
--- a/packages/core/fulmarward_core/layers/decisions/_types.py
+++ b/packages/core/fulmarward_core/layers/decisions/_types.py
@@ -1,4 +1,4 @@
-"""What the decisions on layers return."""
+"""Results of layer planning."""
 
 from dataclasses import dataclass
 
@@ -7,21 +7,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Assignment:
-    """The layers that one target shall hold."""
+    """The layers assigned to one target."""
 
-    #: Name of the target.
     target: str
-    #: The layers.
     layers: LayerRange
 
 
 @dataclass(frozen=True, kw_only=True)
 class LayerOrder:
-    """An order to be sent, and why."""
+    """An assignment to be sent to its target, and the reason for it."""
 
-    #: What shall be held.
     assignment: Assignment
-    #: `first`, `empty`, `gap` (a target takes more layers, which its data centre
-    #: lacks), `spare` (one whose layers others hold as well moves to where they lack)
-    #: or `shift` (one gives up layers, so that its data centre is whole).
+    #: `first` (initial plan), `empty` (target without layers), `gap` (a target adds
+    #: adjacent layers that its data centre lacks), `spare` (a redundant target moves
+    #: to missing layers) or `shift` (a target gives up layers to complete the model in
+    #: its data centre).
     reason: str
--- a/packages/core/fulmarward_core/layers/tests/fleets.py
+++ b/packages/core/fulmarward_core/layers/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets for tests: engines of three kinds in some data centres."""
+"""Test fleets with engines of three kinds in several data centres."""
 
 from fulmarward_core.fleet import AcceleratorKind, EngineModel, TargetRecord
 
@@ -52,7 +52,7 @@
 
 
 def make_fleet(counts):
-    """Return targets; `counts` gives for each data centre the number of each kind."""
+    """Return targets; `counts` maps data centres to the number of targets by kind."""
     return [
         make_target(f"{centre}-{kind}-{number}", centre, kind)
         for centre, kinds in counts.items()
--- a/packages/core/fulmarward_core/layers/tests/load.py
+++ b/packages/core/fulmarward_core/layers/tests/load.py
@@ -1,7 +1,7 @@
-"""A load of answers on a planned fleet, played with the real choice of paths.
+"""Simulation of a request load on a planned fleet with the real path selection.
 
-Times of answers are those that the engine's published figures give, without waits at
-the targets; what is counted is room, which decides whom a full fleet refuses.
+Durations follow from the engine's published figures and leave out queueing at the
+targets. Only KV capacity is accounted for, which decides what a full fleet refuses.
 """
 
 import heapq
@@ -15,18 +15,18 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PlayedLoad:
-    """What callers got."""
+class SimulatedLoad:
+    """Outcome of a simulated load."""
 
-    #: Answers that were begun, and those refused since no path had room.
-    begun: int
+    #: Requests with a path, and requests for which no path had enough KV capacity.
+    started: int
     refused: int
-    #: Mean time of an answer, in seconds.
+    #: Mean duration of an answer in seconds.
     mean_s: float
 
 
 def make_stages(engine, fleet, ledger, now):
-    """Return the targets as stages, with what the ledger has reserved to them."""
+    """Return the targets as stages with the load that the ledger has reserved."""
     loads = ledger.sum_loads(now=now)
     stages = []
     for target in fleet:
@@ -53,7 +53,7 @@
 
 
 def compute_answer_s(engine, stages, request, path):
-    """Return the time of an answer along a path, in seconds."""
+    """Return the duration of an answer along a path in seconds."""
     by_name = {stage.target: stage for stage in stages}
     total_ms = 0.0
     for hop in path:
@@ -67,12 +67,12 @@
     return total_ms / 1000
 
 
-def play_load(engine, fleet, *, rate_per_s, for_s, data_centres, seed):
-    """Send answers of mixed sizes from the data centres; return what callers got."""
+def simulate_load(engine, fleet, *, rate_per_s, for_s, data_centres, seed):
+    """Send requests of mixed sizes from the data centres and return the outcome."""
     rng = random.Random(seed)
     ledger = LoadLedger()
     ends = []
-    now, begun, refused, total_s = 0.0, 0, 0, 0.0
+    now, started, refused, total_s = 0.0, 0, 0, 0.0
     while now < for_s:
         now += rng.expovariate(rate_per_s)
         while ends and ends[0][0] <= now:
@@ -88,9 +88,11 @@
         if path is None:
             refused += 1
             continue
-        begun += 1
-        took_s = compute_answer_s(engine, stages, request, path)
-        total_s += took_s
+        started += 1
+        duration_s = compute_answer_s(engine, stages, request, path)
+        total_s += duration_s
         reservation = ledger.reserve(path, count_tokens_held(request))
-        heapq.heappush(ends, (now + took_s, begun, reservation))
-    return PlayedLoad(begun=begun, refused=refused, mean_s=total_s / max(1, begun))
+        heapq.heappush(ends, (now + duration_s, started, reservation))
+    return SimulatedLoad(
+        started=started, refused=refused, mean_s=total_s / max(1, started)
+    )
--- a/packages/core/fulmarward_core/layers/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/layers/tests/test_decisions.py
@@ -13,7 +13,7 @@
 )
 from fulmarward_core.layers.decisions import GAP_KV_TOKENS, MIN_KV_TOKENS
 from fulmarward_core.layers.tests.fleets import ENGINE, KINDS, make_fleet, make_target
-from fulmarward_core.layers.tests.load import play_load
+from fulmarward_core.layers.tests.load import simulate_load
 
 _COUNTS = st.dictionaries(
     st.sampled_from("abcd"),
@@ -27,15 +27,15 @@
     max_size=4,
 )
 
-#: The smaller of the fleets that this was measured on.
-_THREE_CENTRES = {
+#: The smaller of the two fleets behind the figures below.
+_THREE_DATA_CENTRES = {
     "a": {"large": 3, "middle": 3, "small": 5},
     "b": {"large": 1, "middle": 5, "small": 8},
     "c": {"large": 1, "middle": 7, "small": 5},
 }
 
-#: A fleet like it with two more large engines.
-_FASTEST_CENTRES = {
+#: The same fleet with two more large engines.
+_DATA_CENTRES_WITH_MORE_FAST_ENGINES = {
     "a": {"large": 3, "middle": 3, "small": 5},
     "b": {"large": 2, "middle": 5, "small": 8},
     "c": {"large": 2, "middle": 7, "small": 5},
@@ -43,7 +43,7 @@
 
 
 def _make_holders(centre, held):
-    """Return targets of a data centre; `held` gives kind, first layer and end."""
+    """Return targets of a data centre; `held` lists kind, first layer and end."""
     return [
         make_target(
             f"{centre}-{kind}-{start}", centre, kind, LayerRange(start=start, end=end)
@@ -72,27 +72,27 @@
 
 class PlanLayersTest(unittest.TestCase):
     def test_each_data_centre_that_can_holds_the_whole_model(self):
-        fleet = make_fleet(_THREE_CENTRES)
+        fleet = make_fleet(_THREE_DATA_CENTRES)
         planned = _apply(fleet, plan_layers(ENGINE, fleet, instances=7))
-        for centre in _THREE_CENTRES:
+        for centre in _THREE_DATA_CENTRES:
             with self.subTest(centre):
                 ranges = _list_ranges(planned, centre)
                 self.assertEqual(find_gaps(ENGINE.layers, ranges), [])
 
     def test_loss_of_a_data_centre_at_the_usual_load_refuses_nobody(self):
-        # A data centre goes at 31 answers a second; what ran there goes to the two
-        # others. With as many layers on each engine as fit, the thinnest engine had
-        # room for 43,572 tokens, that filled, and callers were refused though other
-        # engines were idle.
+        # A data centre is lost at 31 answers/s, and the two others take its load. With
+        # as many layers on each engine as fit, the smallest KV cache of an engine had
+        # 43,572 tokens; it filled up, and requests were refused while other engines
+        # were idle.
         planned = _apply(
-            make_fleet(_THREE_CENTRES),
-            plan_layers(ENGINE, make_fleet(_THREE_CENTRES), instances=7),
+            make_fleet(_THREE_DATA_CENTRES),
+            plan_layers(ENGINE, make_fleet(_THREE_DATA_CENTRES), instances=7),
         )
-        for lost in (None, *_THREE_CENTRES):
+        for lost in (None, *_THREE_DATA_CENTRES):
             with self.subTest(lost):
                 left = [t for t in planned if t.data_centre != lost]
                 centres = sorted({t.data_centre for t in left})
-                played = play_load(
+                result = simulate_load(
                     ENGINE,
                     left,
                     rate_per_s=31,
@@ -100,45 +100,45 @@
                     data_centres=centres,
                     seed=1,
                 )
-                self.assertGreater(played.begun, 400)
-                self.assertEqual(played.refused, 0)
+                self.assertGreater(result.started, 400)
+                self.assertEqual(result.refused, 0)
 
     def test_burst_at_the_usual_load_refuses_nobody(self):
-        # Many callers come at once, 1.7 times the usual load, while nothing is lost.
-        fleet = make_fleet(_THREE_CENTRES)
+        # A burst of 1.7 times the usual load arrives while no engine is lost.
+        fleet = make_fleet(_THREE_DATA_CENTRES)
         planned = _apply(fleet, plan_layers(ENGINE, fleet, instances=7))
-        played = play_load(
+        result = simulate_load(
             ENGINE,
             planned,
             rate_per_s=31 * 1.7,
             for_s=10,
-            data_centres=sorted(_THREE_CENTRES),
+            data_centres=sorted(_THREE_DATA_CENTRES),
             seed=2,
         )
-        self.assertEqual(played.refused, 0)
-
-    def test_answers_run_through_fast_engines_as_far_as_these_reach(self):
-        # An answer that takes longer is open for longer, and each loss, restart or
-        # power cut meets more of them. With equal KV cache on all kinds of engines an
-        # answer took 2.00 s at the usual load, by the engines' figures; with the fast
-        # ones in a chain of their own 1.88 s, and 1.86 s in place of 2.14 s where one
-        # of them is faster still.
-        fleet = make_fleet(_FASTEST_CENTRES)
+        self.assertEqual(result.refused, 0)
+
+    def test_answers_use_fast_engines_for_all_layers_that_these_hold(self):
+        # The longer answers run, the more of them are hit by each engine loss, restart
+        # or power cut. By the engines' figures an answer took 2.00 s at the usual load
+        # with equal KV cache on all kinds of engines and 1.88 s with the fast engines
+        # in a chain of their own; where one of these is even faster, 2.14 s became
+        # 1.86 s.
+        fleet = make_fleet(_DATA_CENTRES_WITH_MORE_FAST_ENGINES)
         planned = _apply(fleet, plan_layers(ENGINE, fleet, instances=7))
-        played = play_load(
+        result = simulate_load(
             ENGINE,
             planned,
             rate_per_s=31,
             for_s=15,
-            data_centres=sorted(_FASTEST_CENTRES),
+            data_centres=sorted(_DATA_CENTRES_WITH_MORE_FAST_ENGINES),
             seed=1,
         )
-        self.assertEqual(played.refused, 0)
+        self.assertEqual(result.refused, 0)
         all_slow_s = ENGINE.step_ms * 15 * ENGINE.usual_answer / 1000
-        self.assertLess(played.mean_s, all_slow_s)
+        self.assertLess(result.mean_s, all_slow_s)
 
-    def test_fast_engines_of_a_data_centre_hold_layers_that_meet(self):
-        fleet = make_fleet(_THREE_CENTRES)
+    def test_fast_engines_of_a_data_centre_hold_adjacent_layers(self):
+        fleet = make_fleet(_THREE_DATA_CENTRES)
         planned = _apply(fleet, plan_layers(ENGINE, fleet, instances=7))
         fast = sorted(t.layers for t in planned if t.kind == "large")
         self.assertEqual(fast[0].start, 0)
@@ -150,11 +150,11 @@
         gap = find_gaps(ENGINE.layers, nearby)[0]
         self.assertEqual(gap.start, sum(len(layers) for layers in nearby))
 
-    def test_fast_engines_keep_room_for_what_many_instances_send_unknown(self):
-        # 86 instances send to the fast engines, each knowing the others' choices up to
-        # a second late. With KV cache for 40 requests, 300 running streams of a day
-        # were preempted and 60 cut.
-        fleet = make_fleet(_THREE_CENTRES)
+    def test_fast_engines_keep_kv_cache_for_unreported_requests_of_all_instances(self):
+        # 86 instances send to the fast engines and learn each other's choices up to
+        # 1 s late. With KV cache for 40 requests, 300 running streams were preempted
+        # and 60 cut within a day.
+        fleet = make_fleet(_THREE_DATA_CENTRES)
         for instances in (7, 86):
             planned = _apply(fleet, plan_layers(ENGINE, fleet, instances=instances))
             for target in planned:
@@ -165,10 +165,10 @@
                 self.assertGreaterEqual(requests, 36 + instances)
 
     def test_no_engine_is_left_with_a_few_layers(self):
-        # An engine in whose place only three layers were left held just these, with
-        # KV cache that nobody could use. When it was lost its data centre had no whole
-        # model, as with any other; two thirds of its memory had stood idle.
-        for counts in (_THREE_CENTRES, _FASTEST_CENTRES):
+        # An engine at the end of a copy was assigned only the three remaining layers.
+        # Two thirds of its memory was KV cache that no request could use, and its loss
+        # still left its data centre without a complete model.
+        for counts in (_THREE_DATA_CENTRES, _DATA_CENTRES_WITH_MORE_FAST_ENGINES):
             fleet = make_fleet(counts)
             planned = _apply(fleet, plan_layers(ENGINE, fleet, instances=7))
             for centre in counts:
@@ -182,7 +182,7 @@
                         self.assertEqual(len(sizes), 1)
 
     def test_loss_of_a_fast_engine_leaves_its_data_centre_whole(self):
-        fleet = make_fleet(_THREE_CENTRES)
+        fleet = make_fleet(_THREE_DATA_CENTRES)
         planned = _apply(fleet, plan_layers(ENGINE, fleet, instances=7))
         for lost in (t for t in planned if t.kind == "large" and t.data_centre != "a"):
             with self.subTest(lost.name):
@@ -197,7 +197,7 @@
 
     @settings(max_examples=60)
     @given(_COUNTS)
-    def test_no_target_is_given_more_than_it_has_memory_for(self, counts):
+    def test_no_target_is_assigned_more_layers_than_fit_its_memory(self, counts):
         fleet = make_fleet(counts)
         for assignment in plan_layers(ENGINE, fleet, instances=7):
             kind = KINDS[next(t.kind for t in fleet if t.name == assignment.target)]
@@ -207,28 +207,28 @@
 
     @settings(max_examples=60)
     @given(_COUNTS)
-    def test_plan_does_not_depend_on_the_order_of_arrival(self, counts):
+    def test_plan_does_not_depend_on_the_order_of_targets(self, counts):
         fleet = make_fleet(counts)
         self.assertEqual(
             plan_layers(ENGINE, fleet, instances=7),
             plan_layers(ENGINE, list(reversed(fleet)), instances=7),
         )
 
-    def test_unknown_kind_is_given_nothing(self):
+    def test_target_of_an_unknown_kind_is_assigned_no_layers(self):
         fleet = [make_target("x", "a", "unheard-of")]
         self.assertEqual(plan_layers(ENGINE, fleet, instances=7), [])
 
 
 class PlanRepairsTest(unittest.TestCase):
     def setUp(self):
-        fleet = make_fleet(_THREE_CENTRES)
+        fleet = make_fleet(_THREE_DATA_CENTRES)
         self.fleet = _apply(fleet, plan_layers(ENGINE, fleet, instances=7))
 
-    def test_whole_fleet_is_left_alone(self):
+    def test_complete_fleet_gets_no_orders(self):
         self.assertEqual(plan_repairs(ENGINE, self.fleet, {}, instances=7), [])
 
     def test_restarted_target_takes_what_its_data_centre_lacks(self):
-        # A crashed engine comes back empty: its data centre has had no path since.
+        # A crashed engine restarts empty; its data centre has no path until then.
         for lost in self.fleet:
             with self.subTest(lost.name):
                 fleet = [
@@ -257,12 +257,12 @@
         ranges = _list_ranges(after, lost.data_centre)
         self.assertEqual(find_gaps(ENGINE.layers, ranges), [])
 
-    def test_loss_of_any_small_engine_is_closed_within_its_data_centre(self):
-        # Engines are taken away for good, one here and one there. A data centre whose
-        # gap stays open sends every prompt through the pipe that all share.
+    def test_gap_of_any_lost_small_engine_is_closed_within_its_data_centre(self):
+        # Single engines are removed for good. A data centre whose gap stays open sends
+        # every prompt through the pipe that all data centres share.
         for lost in self.fleet:
             if lost.kind != "small":
-                continue  # What larger ones held, two neighbours cannot take over.
+                continue  # Two neighbours cannot take over a larger engine's range.
             with self.subTest(lost.name):
                 fleet = [t for t in self.fleet if t is not lost]
                 orders = plan_repairs(ENGINE, fleet, {}, instances=7)
@@ -271,9 +271,9 @@
                 self.assertEqual(find_gaps(ENGINE.layers, ranges), [])
 
     def test_restarted_fast_engine_takes_its_place_among_the_fast_ones(self):
-        # A fast engine comes back empty; its data centre lacks nothing, since slow
-        # ones hold its layers too. Placed where its data centre holds least, it would
-        # leave all answers on the slow ones.
+        # A fast engine restarts empty while slow engines of its data centre hold its
+        # layers too. If it took the layers with the fewest holders there, all answers
+        # would stay on slow engines.
         lost = next(t for t in self.fleet if t.kind == "large" and t.data_centre == "b")
         fleet = [replace(t, layers=None) if t is lost else t for t in self.fleet]
         orders = plan_repairs(ENGINE, fleet, {}, instances=7)
@@ -282,9 +282,9 @@
         self.assertLessEqual(layers.start, lost.layers.start)
         self.assertGreaterEqual(layers.end, lost.layers.end)
 
-    def test_target_that_closes_a_small_gap_holds_as_many_layers_as_it_may(self):
-        # Five targets are replaced one after the other. A fast one that came back was
-        # given the six layers that its data centre lacked, and no more all day: first
+    def test_target_that_closes_a_small_gap_holds_its_maximum_of_layers(self):
+        # While five targets were replaced in turn, a restarted fast engine was assigned
+        # only the six layers missing in its data centre and kept them all day. First
         # tokens took 0.5 to 1 s from then on.
         empty = next(t for t in self.fleet if t.kind == "large")
         small = next(
@@ -303,15 +303,15 @@
         layers = {o.assignment.target: o.assignment.layers for o in orders}
         self.assertGreaterEqual(len(layers[empty.name]), len(empty.layers))
         after = _apply_orders(fleet, orders)
-        # What stands beside the fast one is to spare only once that holds its layers.
+        # Targets with the fast engine's layers are spare only once it has loaded them.
         after = _apply_orders(after, plan_repairs(ENGINE, after, {}, instances=7))
         ranges = _list_ranges(after, empty.data_centre)
         self.assertEqual(find_gaps(ENGINE.layers, ranges), [])
 
-    def test_target_beside_a_fast_one_moves_before_kv_cache_is_given_up(self):
-        # A slow engine is gone for good. Its neighbours could close the gap with KV
-        # cache for 18 requests left, and all answers of the data centre would be as
-        # few for the rest of the day; beside the fast engine stands one to spare.
+    def test_spare_target_moves_before_kv_cache_is_reduced(self):
+        # A slow engine is removed for good. Its neighbours could close the gap, but
+        # with KV cache for only 18 requests, which would limit the whole data centre. A
+        # spare target with the same layers as the fast engine can move instead.
         lost = next(
             t
             for t in self.fleet
@@ -327,8 +327,8 @@
             room /= len(target.layers)
             self.assertGreaterEqual(room, MIN_KV_TOKENS - 1)
 
-    def test_gap_wider_than_any_spare_target_is_closed_by_several(self):
-        """Guards against a data centre that stays without a whole model for good."""
+    def test_gap_wider_than_any_spare_target_is_closed_by_several_targets(self):
+        """Guards against a data centre that never holds the whole model again."""
         held = [
             ("large", 0, 16),
             ("small", 16, 22),
@@ -348,8 +348,8 @@
         self.assertEqual({o.reason for o in orders}, {"spare"})
         self.assertNotIn("large", {t.kind for t in fleet if t.name in moved})
 
-    def test_gap_is_closed_by_shifting_what_overlaps_elsewhere(self):
-        """Guards against a whole model's layers that overlap beside a gap for good."""
+    def test_gap_is_closed_by_shifting_overlapping_ranges(self):
+        """Guards against a gap that persists beside overlapping ranges."""
         held = [
             ("large", 0, 16),
             ("small", 16, 22),
@@ -369,11 +369,11 @@
         self.assertIn("shift", {o.reason for o in orders})
         alone = _make_holders("a", held)
         for order in plan_repairs(ENGINE, alone, {}, instances=19):
-            # Nobody else holds these layers.
+            # No other data centre holds these layers.
             self.assertNotEqual(order.reason, "shift")
 
     def test_fast_target_closes_the_gap_of_a_data_centre_that_needs_it(self):
-        """Guards against a fast chain that is whole while no data centre is."""
+        """Guards against a complete fast chain while no data centre is complete."""
         held = [("middle", n * 10, n * 10 + 10) for n in range(5)]
         chain = [("large", 0, 16), ("large", 48, 64), ("large", 64, 80)]
         others = _make_holders("b", chain)
@@ -386,14 +386,14 @@
     @settings(max_examples=60, deadline=None)
     @given(_COUNTS, st.sets(st.integers(0, 60)))
     def test_repairs_never_leave_a_held_layer_unheld(self, counts, lost):
-        """Guards against layers that are given up while nobody else holds them.
+        """Guards against a layer being given up by its last holder.
 
-        A data centre that is not whole may give up what other data centres hold, if
-        that makes it whole; all others keep a holder of each layer that they hold.
+        An incomplete data centre may give up layers that other data centres hold if
+        that completes it; all others keep a holder of each layer that they hold.
         """
         fleet = make_fleet(counts)
         planned = _apply(fleet, plan_layers(ENGINE, fleet, instances=7))
-        left = [t for place, t in enumerate(planned) if place not in lost]
+        left = [t for index, t in enumerate(planned) if index not in lost]
         orders = plan_repairs(ENGINE, left, {}, instances=7)
         layers = {o.assignment.target: o.assignment.layers for o in orders}
         shifted = {o.assignment.target for o in orders if o.reason == "shift"}
@@ -431,8 +431,8 @@
     return LayerRange(start=start, end=end) if start < end else None
 
 
-class CountTest(unittest.TestCase):
-    def test_gaps(self):
+class CoverageTest(unittest.TestCase):
+    def test_find_gaps(self):
         cases = [
             ([], [LayerRange(start=0, end=4)]),
             ([(0, 4)], []),
