--- a/packages/core/fulmarward_core/placement/__init__.py
+++ b/packages/core/fulmarward_core/placement/__init__.py
@@ -1,4 +1,4 @@
-"""What each target shall hold, and how to get there without an outage."""
+"""Desired state of targets, and rollouts that reach it without an outage."""
 
 from fulmarward_core.placement._types import (
     Action,
--- a/packages/core/fulmarward_core/placement/_types.py
+++ b/packages/core/fulmarward_core/placement/_types.py
@@ -1,4 +1,4 @@
-"""Types of the placement slice."""
+"""Types of placement decisions."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,89 +6,86 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Wanted:
-    """What a target shall hold; an order states it whole, so repeating is harmless."""
+    """The desired state of a target.
+
+    An order carries the complete state, so sending it again is harmless.
+    """
 
-    #: Name of the model.
     model: str
-    #: The model's version.
     version: str
     #: First layer, and one past the last.
     layers: tuple[int, int]
     #: Names of the adapters, sorted.
     adapters: tuple[str, ...]
-    #: What it does with them; `serving`.
+    #: `serving`.
     role: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Held:
-    """What an engine says that it holds."""
+    """The state that an engine reports."""
 
-    #: What it holds now, or held before a load that is running.
+    #: The current state, or the state before a load that is in progress.
     state: Wanted
-    #: The highest fencing number it has seen.
+    #: The highest fencing number that the engine has seen.
     fencing: int
-    #: Whether it is loading weights: it serves nothing meanwhile.
+    #: Whether it is loading weights, during which it serves no requests.
     is_loading: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class EngineState:
-    """One engine of a pool, as the pool's holder sees it."""
+    """One engine of a pool as seen by the holder of the pool's lease."""
 
-    #: Its name.
     name: str
-    #: What it shall hold.
     wanted: Wanted
-    #: What it says that it holds; `None` when it does not answer.
+    #: The reported state; `None` if the engine does not answer.
     held: Held | None
-    #: Requests running and waiting on it.
+    #: Number of requests running and waiting on the engine.
     load: int
-    #: Whether a source other than placement says that it is leaving.
+    #: Whether a source other than placement reports that it is leaving.
     is_leaving: bool
-    #: Whether placement has stopped new work to it.
+    #: Whether placement has stopped new work to the engine.
     is_draining: bool
-    #: Whether all instances have had the time to hear of that.
+    #: Whether enough time has passed for all instances to learn of the drain.
     is_drain_settled: bool
-    #: Whether it has obeyed an order of this holding of the lease.
+    #: Whether it has obeyed an order under the current fencing number of the lease.
     is_asserted: bool
-    #: Whether an order to it is under way.
+    #: Whether an order to the engine is in flight.
     is_ordered: bool
 
 
 class ActionKind(Enum):
-    """What placement does to a target."""
+    """Kinds of actions on a target."""
 
-    #: Stop new work, because weights will be loaded.
+    #: Stop new work before weights are loaded.
     DRAIN = "drain"
-    #: Take new work again.
+    #: Accept new work again.
     OPEN = "open"
-    #: Send the order that states what it shall hold.
+    #: Send the order with the desired state.
     ORDER = "order"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Action:
-    """One thing to do, with what decided it."""
+    """An action on one target."""
 
-    #: What to do.
     kind: ActionKind
-    #: Name of the target.
     target: str
-    #: Why, a fixed word for logs.
+    #: Fixed word for logs.
     reason: str
 
 
 class RolloutPhase(Enum):
-    """Where the rollout of a version stands."""
+    """Phases of the rollout of a version."""
 
-    #: Every target that answers and is to stay holds it.
+    #: Every target that answers and is not leaving holds the version.
     DONE = "done"
-    #: Targets are changed, one by one.
+    #: Targets are changed one by one.
     RUNNING = "running"
-    #: No target can be taken without leaving a pipeline unserved.
+    #: No target can be changed without leaving a pipeline unserved.
     BLOCKED = "blocked"
-    #: It made things worse; no more targets are changed.
+    #: The version failed more often; no more targets are changed.
     STOPPED = "stopped"
 
 
@@ -96,25 +93,22 @@
 class Rollout:
     """The rollout of a model's version over its pool."""
 
-    #: The version.
     version: str
-    #: Where it stands.
     phase: RolloutPhase
-    #: When a target was last changed; seconds on the holder's steady clock.
+    #: Time of the last change of a target, in seconds on the holder's monotonic clock.
     changed_at: float
-    #: Why it stopped, for operators.
+    #: Why the rollout stopped, for operators.
     reason: str = ""
-    #: Whether the new version failed more often when last it was tried.
+    #: Whether the new version had a worse failure rate in its latest attempts.
     has_failed: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class Outcomes:
-    """What became of attempts on targets of one version, in the last minute or so."""
+    """Attempts on targets of one version that ended in about the last minute."""
 
-    #: Name of the version.
     version: str
-    #: Attempts that ended.
+    #: All attempts that ended.
     tries: int
-    #: Those of them that failed by the target's fault.
+    #: Attempts that failed through the target's fault.
     failures: int
--- a/packages/core/fulmarward_core/placement/decisions.py
+++ b/packages/core/fulmarward_core/placement/decisions.py
@@ -1,4 +1,4 @@
-"""Decisions about placement: what a target shall hold and which step comes next."""
+"""Placement decisions: desired state of targets and the next actions of a rollout."""
 
 from collections.abc import Collection, Iterable, Iterator, Mapping, Sequence
 from dataclasses import replace
@@ -15,28 +15,28 @@
     Wanted,
 )
 
-#: Targets of a pool that load weights at once. Load: all targets of a pool empty after
-#: an outage; harm: the weight store's rate shared by so many loads that none ends;
-#: reason: two keep it busy, and the first targets serve soon.
-MOST_LOADS = 2
+#: Targets of a pool that load weights at the same time. After an outage all targets of
+#: a pool may be empty; if all loaded at once, they would share the weight store's rate
+#: and none would finish. Two loads use the full rate, and the first targets serve soon.
+MAX_CONCURRENT_LOADS = 2
 
-#: Attempts on the new version after which a rollout takes the next target.
-ENOUGH_TRIES = 20
+#: Attempts on the new version after which a rollout continues with the next target.
+SOAK_ATTEMPTS = 20
 
-#: Seconds after which it takes the next one with fewer. Load: a pipeline in the night;
-#: harm: a rollout that never ends; reason: longer than most requests take.
+#: Seconds after which a rollout continues even with fewer attempts, so that it also
+#: ends for a pipeline with little traffic. Longer than most requests take.
 SOAK_S = 10.0
 
-#: Seconds after a change for which a rollout waits in any case: requests sent to the
-#: changed target have to end before they can count.
+#: Minimum seconds between a change and the next one: requests sent to the changed
+#: target count only once they have ended.
 SETTLE_S = 1.0
 
-#: Failures on the new version that stop a rollout, and by how much its rate of
-#: failures has to be above the old one's. Load: a version that breaks some requests;
-#: harm: all callers get it; reason: fewer failures, or a rate that is as bad with the
-#: old version, come from elsewhere.
-STOP_FAILURES = 3
-STOP_RATE_ABOVE = 0.1
+#: A rollout stops if the new version has at least this many failures and its failure
+#: rate exceeds the old version's by this margin. Otherwise a version that breaks some
+#: requests would reach all callers. Fewer failures, or a similar rate with the old
+#: version, have other causes.
+MIN_FAILURES_TO_STOP = 3
+MAX_FAILURE_RATE_INCREASE = 0.1
 
 
 def can_serve(
@@ -47,11 +47,11 @@
     adapter: str | None,
     layers: tuple[int, int],
 ) -> bool:
-    """Return whether a target that says it holds `held` can run a request.
+    """Return whether a target with the reported state `held` can run a request.
 
-    A target that has not reported is tried: its refusal costs one attempt and runs
-    nothing. During a rollout every declared version serves, else the first target of
-    the new version would have to carry the load of all.
+    A target without a report counts as able: if it refuses, one attempt is lost and
+    nothing has run. During a rollout all declared versions serve; otherwise the first
+    target of the new version would have to take the whole load.
     """
     if held is None:
         return True
@@ -67,7 +67,7 @@
 
 
 def list_wanted(declaration: Declaration, pool: str) -> dict[str, Wanted]:
-    """Return what each engine of a pool (name of a model) shall hold."""
+    """Return the desired state of each engine of the pool (the model's name)."""
     model = declaration.models[pool]
     return {
         name: Wanted(
@@ -83,7 +83,7 @@
 
 
 def has_whole_chain(ranges: Collection[tuple[int, int]], layers: int) -> bool:
-    """Return whether some of `ranges`, end to end, cover `[0, layers)`."""
+    """Return whether some of `ranges`, placed end to end, cover `[0, layers)`."""
     reached = {0}
     for first, end in sorted(ranges):
         if first in reached:
@@ -92,18 +92,18 @@
 
 
 def needs_load(engine: EngineState) -> bool:
-    """Return whether weights have to be loaded for what the engine shall hold."""
+    """Return whether the engine must load weights to reach its desired state."""
     if engine.held is None:
         return False
-    return _list_weights(engine.held.state) != _list_weights(engine.wanted)
+    return _identify_weights(engine.held.state) != _identify_weights(engine.wanted)
 
 
-def _list_weights(state: Wanted) -> tuple[object, ...]:
+def _identify_weights(state: Wanted) -> tuple[object, ...]:
     return (state.model, state.version, state.layers)
 
 
 def _is_serving(engine: EngineState, versions: Collection[str]) -> bool:
-    """Return whether requests can be sent to the engine now."""
+    """Return whether the engine accepts requests now."""
     return (
         engine.held is not None
         and not (engine.is_leaving or engine.is_draining or engine.is_ordered)
@@ -124,10 +124,10 @@
     layers: int,
     versions: Sequence[str],
 ) -> bool:
-    """Return whether the pool serves whole pipelines without one engine.
+    """Return whether the pool still serves complete pipelines without one engine.
 
-    Guards against a rollout or a move that takes the last serving target of a pipeline
-    away: for one version at least the ranges of layers of the others cover the model.
+    The layer ranges of the other engines must cover the model in at least one version,
+    so that a rollout or a move never takes away a pipeline's last serving target.
     """
     ranges: dict[str, set[tuple[int, int]]] = {}
     for engine in engines:
@@ -145,9 +145,9 @@
     rollout: Rollout,
     may_take_next: bool,
 ) -> list[Action]:
-    """Return what to do to a pool now. Repeating what was done is harmless.
+    """Return the actions that a pool needs now. Repeating an action is harmless.
 
-    `may_take_next` is whether the rollout may change one more serving target.
+    `may_take_next` tells whether the rollout may change another serving target.
     """
     answering = [
         engine
@@ -159,8 +159,10 @@
         for engine in engines
     )
     actions = [
-        *_plan_light(answering),
-        *_plan_loads(answering, versions, rollout, most=MOST_LOADS - loading),
+        *_plan_without_load(answering),
+        *_plan_loads(
+            answering, versions, rollout, max_loads=MAX_CONCURRENT_LOADS - loading
+        ),
     ]
     is_busy = loading > 0 or any(engine.is_draining for engine in answering)
     if may_take_next and not is_busy and not actions:
@@ -168,20 +170,20 @@
     return actions
 
 
-def _plan_light(engines: Iterable[EngineState]) -> Iterator[Action]:
-    """Plan what loads no weights, so that the target serves on meanwhile.
+def _plan_without_load(engines: Iterable[EngineState]) -> Iterator[Action]:
+    """Plan orders that load no weights, during which the target keeps serving.
 
-    The first order of a holding goes to every engine, also to one that holds what it
-    shall: an engine that checks fencing numbers refuses a paused predecessor's orders
-    only after it has seen a higher number.
+    A new lease holder sends an order to every engine, even if the engine has the
+    desired state already: an engine that checks fencing numbers refuses the orders of a
+    paused previous holder only after it has seen a higher number.
     """
     for engine in engines:
         if needs_load(engine) or engine.held.is_loading:
             continue
         if engine.held.state != engine.wanted:
-            yield _order(engine, "differs")
+            yield _make_order(engine, "differs")
         elif not engine.is_asserted:
-            yield _order(engine, "assert")
+            yield _make_order(engine, "assert")
         elif engine.is_draining:
             yield Action(kind=ActionKind.OPEN, target=engine.name, reason="as_wanted")
 
@@ -191,9 +193,9 @@
     versions: Sequence[str],
     rollout: Rollout,
     *,
-    most: int,
+    max_loads: int,
 ) -> Iterator[Action]:
-    """Plan loads on targets that serve nothing: empty ones, and the drained one."""
+    """Plan loads on targets that serve nothing: empty ones and the drained one."""
     is_stopped = rollout.phase is RolloutPhase.STOPPED
     for engine in engines:
         if not needs_load(engine) or engine.held.is_loading:
@@ -202,18 +204,18 @@
             if engine.is_draining:
                 yield Action(kind=ActionKind.OPEN, target=engine.name, reason="stopped")
             continue
-        if engine.is_leaving or _is_serving(engine, versions) or most <= 0:
+        if engine.is_leaving or _is_serving(engine, versions) or max_loads <= 0:
             continue
         is_idle = engine.load == 0 and engine.is_drain_settled
-        is_of_use = _could_serve(engine, versions)
-        if is_idle or not is_of_use:
-            most -= 1
-            yield _order(engine, "drained" if is_of_use else "empty")
+        would_serve = _would_serve(engine, versions)
+        if is_idle or not would_serve:
+            max_loads -= 1
+            yield _make_order(engine, "drained" if would_serve else "empty")
 
 
-def _could_serve(engine: EngineState, versions: Sequence[str]) -> bool:
-    opened = replace(engine, is_leaving=False, is_draining=False)
-    return _is_serving(opened, versions)
+def _would_serve(engine: EngineState, versions: Sequence[str]) -> bool:
+    undrained = replace(engine, is_leaving=False, is_draining=False)
+    return _is_serving(undrained, versions)
 
 
 def _plan_next(
@@ -227,19 +229,19 @@
     return []
 
 
-def _order(engine: EngineState, reason: str) -> Action:
+def _make_order(engine: EngineState, reason: str) -> Action:
     return Action(kind=ActionKind.ORDER, target=engine.name, reason=reason)
 
 
 def is_worse(new: Outcomes, old: Outcomes) -> bool:
-    """Return whether the new version fails so much more often that it has to stop."""
-    return new.failures >= STOP_FAILURES and _has_worse_rate(new, old)
+    """Return whether the new version's failures must stop the rollout."""
+    return new.failures >= MIN_FAILURES_TO_STOP and _has_worse_rate(new, old)
 
 
 def _has_worse_rate(new: Outcomes, old: Outcomes) -> bool:
     old_rate = old.failures / old.tries if old.tries else 0.0
     new_rate = new.failures / new.tries if new.tries else 0.0
-    return new_rate > old_rate + STOP_RATE_ABOVE
+    return new_rate > old_rate + MAX_FAILURE_RATE_INCREASE
 
 
 def has_soaked(
@@ -247,8 +249,8 @@
 ) -> bool:
     """Return whether the targets changed so far have served for long enough.
 
-    Guards against a target that fails and is set aside by routing: it is hardly tried
-    any more, and time alone would take the rollout to the next one.
+    Time alone is no proof: routing avoids a target that fails, so it gets hardly any
+    attempts, and the rollout would continue with the next target.
     """
     holders = (
         engine.held is not None and engine.held.state.version == rollout.version
@@ -259,7 +261,7 @@
     passed = now - rollout.changed_at
     if passed < SETTLE_S or rollout.has_failed:
         return False
-    return new.tries >= ENOUGH_TRIES or passed >= SOAK_S
+    return new.tries >= SOAK_ATTEMPTS or passed >= SOAK_S
 
 
 def advance_rollout(
@@ -271,9 +273,10 @@
     new: Outcomes,
     old: Outcomes,
 ) -> Rollout:
-    """Return where the rollout stands now; one that was stopped stays so.
+    """Return the rollout with its current phase.
 
-    A stopped rollout ends when another version is declared: that is another rollout.
+    A stopped rollout stays stopped until another version is declared, which starts a
+    new rollout.
     """
     if rollout.phase is RolloutPhase.STOPPED:
         return rollout
@@ -290,26 +293,26 @@
         return replace(rollout, phase=RolloutPhase.STOPPED, reason=reason)
     if not behind:
         return replace(rollout, phase=RolloutPhase.DONE)
-    can_go_on = any(engine.is_draining or engine.is_ordered for engine in engines)
-    can_go_on = can_go_on or any(
+    can_proceed = any(engine.is_draining or engine.is_ordered for engine in engines)
+    can_proceed = can_proceed or any(
         not _is_serving(engine, versions)
         or leaves_whole_chain(engines, engine.name, layers=layers, versions=versions)
         for engine in behind
     )
-    phase = RolloutPhase.RUNNING if can_go_on else RolloutPhase.BLOCKED
+    phase = RolloutPhase.RUNNING if can_proceed else RolloutPhase.BLOCKED
     return replace(rollout, phase=phase)
 
 
 def add_outcomes(counts: Iterable[Outcomes], version: str) -> tuple[Outcomes, Outcomes]:
-    """Return the sums of the new version's outcomes and of all others'."""
-    found: Mapping[bool, list[Outcomes]] = {True: [], False: []}
+    """Return the summed outcomes of the new version and of all other versions."""
+    groups: Mapping[bool, list[Outcomes]] = {True: [], False: []}
     for item in counts:
-        found[item.version == version].append(item)
+        groups[item.version == version].append(item)
     return tuple(
         Outcomes(
             version=name,
-            tries=sum(item.tries for item in found[is_new]),
-            failures=sum(item.failures for item in found[is_new]),
+            tries=sum(item.tries for item in groups[is_new]),
+            failures=sum(item.failures for item in groups[is_new]),
         )
         for is_new, name in ((True, version), (False, ""))
     )
--- a/packages/core/fulmarward_core/placement/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/placement/tests/test_decisions.py
@@ -21,15 +21,15 @@
     plan_actions,
 )
 from fulmarward_core.placement.decisions import (
-    ENOUGH_TRIES,
-    MOST_LOADS,
+    MAX_CONCURRENT_LOADS,
+    MIN_FAILURES_TO_STOP,
     SETTLE_S,
+    SOAK_ATTEMPTS,
     SOAK_S,
-    STOP_FAILURES,
 )
 
 _VERSIONS = ("v1", "v2")
-_NONE = Outcomes(version="v2", tries=0, failures=0)
+_NO_OUTCOMES = Outcomes(version="v2", tries=0, failures=0)
 
 
 def _make_engine(name, *, version="v1", layers=(0, 24), model="m", **changes):
@@ -64,7 +64,7 @@
 
 
 def _load(engine):
-    """Return an engine that has begun to load what it shall hold."""
+    """Return the engine while it loads its desired state."""
     held = replace(engine.held, is_loading=True)
     return replace(engine, held=held, is_asserted=True)
 
@@ -96,11 +96,11 @@
 
 class PlanTest(unittest.TestCase):
     @given(st.lists(_ENGINES, min_size=1, max_size=7), st.data())
-    def test_a_rollout_never_takes_the_last_whole_chain_away(self, kinds, data):
-        # A new version is declared. Engines are changed one by one, in an order of
-        # loads, drains and ends that nobody can foresee. A pipeline that was served
-        # at the start has to be served at each moment, and all that can be changed
-        # without leaving it unserved holds the new version at the end.
+    def test_rollout_never_removes_the_last_complete_chain(self, kinds, data):
+        # Engines are changed to a new version one by one, with random interleavings of
+        # loads, drains and their ends. A pipeline that is served at the start must be
+        # served at every step. At the end every engine that can be changed without
+        # leaving the pipeline unserved holds the new version.
         engines = {
             f"e{n}": _make_engine(f"e{n}", layers=layers, version=version, model=model)
             for n, (layers, version, model) in enumerate(kinds)
@@ -123,7 +123,7 @@
             )
             _apply(engines, actions)
             loading = [name for name, e in engines.items() if e.held.is_loading]
-            self.assertLessEqual(len(loading), MOST_LOADS)
+            self.assertLessEqual(len(loading), MAX_CONCURRENT_LOADS)
             if was_served:
                 self.assertTrue(is_served(), engines)
             if loading and data.draw(st.booleans()):
@@ -138,47 +138,51 @@
             is_free = leaves_whole_chain(
                 engines.values(), name, layers=24, versions=_VERSIONS
             )
-            is_under_way = any(engine.is_draining for engine in engines.values())
-            self.assertTrue(not is_free or is_under_way, engines)
+            is_in_progress = any(engine.is_draining for engine in engines.values())
+            self.assertTrue(not is_free or is_in_progress, engines)
 
-    def test_what_is_planned(self):
+    def test_planned_actions(self):
         old, new = _make_engine("e1"), _make_engine("e2", version="v2")
         drained = _make_engine("e1", is_draining=True, is_drain_settled=True)
         other = _make_engine("e1", model="other")
-        bare = replace(new.held.state, adapters=())
+        without_adapters = replace(new.held.state, adapters=())
         cases = [
             ("drain the next", [old, new], [("drain", "e1", "rollout")]),
-            ("the last one stays", [old], []),
-            ("a leaving one is left alone", [replace(old, is_leaving=True), new], []),
+            ("keep the last one", [old], []),
+            ("skip a leaving engine", [replace(old, is_leaving=True), new], []),
             (
-                "wait while it runs requests",
+                "wait while requests run",
                 [replace(drained, load=1), new],
                 [],
             ),
-            ("then load", [drained, new], [("order", "e1", "drained")]),
-            ("empty ones load at once", [other, new], [("order", "e1", "empty")]),
+            ("load once it is idle", [drained, new], [("order", "e1", "drained")]),
+            (
+                "load empty engines immediately",
+                [other, new],
+                [("order", "e1", "empty")],
+            ),
             (
                 "adapters need no drain",
-                [replace(new, held=replace(new.held, state=bare))],
+                [replace(new, held=replace(new.held, state=without_adapters))],
                 [("order", "e2", "differs")],
             ),
             (
-                "a new holder asserts",
+                "first order of a new holder",
                 [replace(new, is_asserted=False)],
                 [("order", "e2", "assert")],
             ),
             (
-                "take new work again",
+                "accept new work again",
                 [replace(new, is_draining=True)],
                 [("open", "e2", "as_wanted")],
             ),
-            ("nothing for one that does not answer", [replace(old, held=None)], []),
+            ("skip an engine that does not answer", [replace(old, held=None)], []),
         ]
         for name, engines, expected in cases:
             with self.subTest(name):
                 self.assertEqual(_plan(engines), expected)
 
-    def test_a_stopped_rollout_changes_nothing_more(self):
+    def test_stopped_rollout_changes_no_more_targets(self):
         drained = _make_engine("e1", is_draining=True, is_drain_settled=True)
         new = _make_engine("e2", version="v2")
         planned = _plan([drained, new], phase=RolloutPhase.STOPPED, may_take_next=False)
@@ -192,13 +196,13 @@
             rollout, engines, layers=24, versions=_VERSIONS, new=new, old=old
         ).phase
 
-    def test_it_stops_when_the_new_version_fails_more_often(self):
-        # A new version breaks one answer in two. The rollout goes on, target by
-        # target, until all callers get it; the failures of the first target said so.
+    def test_rollout_stops_when_the_new_version_fails_more_often(self):
+        # If a new version breaks every second answer, the failures of the first target
+        # must stop the rollout before it reaches all callers.
         engines = [_make_engine("e1"), _make_engine("e2", version="v2")]
         cases = [
-            (STOP_FAILURES, 10, 0, 100, RolloutPhase.STOPPED),
-            (STOP_FAILURES - 1, 8, 0, 100, RolloutPhase.RUNNING),
+            (MIN_FAILURES_TO_STOP, 10, 0, 100, RolloutPhase.STOPPED),
+            (MIN_FAILURES_TO_STOP - 1, 8, 0, 100, RolloutPhase.RUNNING),
             (30, 100, 28, 100, RolloutPhase.RUNNING),
             (30, 100, 5, 100, RolloutPhase.STOPPED),
             (0, 100, 0, 0, RolloutPhase.RUNNING),
@@ -212,10 +216,10 @@
                 new, old = add_outcomes(counts, "v2")
                 self.assertEqual(self._advance(engines, new, old), expected)
 
-    def test_one_failure_holds_the_rollout_until_a_success(self):
-        # The first target of a new version fails, and routing sets it aside after a
-        # request or two. Nothing more is heard of it, ten seconds pass, and the
-        # rollout takes the next target.
+    def test_failing_version_holds_the_rollout_until_its_rate_recovers(self):
+        # The first target of a new version fails, and routing avoids it after one or
+        # two requests. Without further attempts the ten seconds pass, and the rollout
+        # would continue with the next target.
         engines = [_make_engine("e1"), _make_engine("e2", version="v2")]
         rollout = Rollout(version="v2", phase=RolloutPhase.RUNNING, changed_at=0.0)
         old = Outcomes(version="v1", tries=500, failures=0)
@@ -225,8 +229,8 @@
             rollout = advance_rollout(
                 rollout, engines, layers=24, versions=_VERSIONS, new=new, old=old
             )
-            has = has_soaked(rollout, engines, new, now=10 * SOAK_S)
-            self.assertEqual(has, expected, (tries, failures))
+            is_soaked = has_soaked(rollout, engines, new, now=10 * SOAK_S)
+            self.assertEqual(is_soaked, expected, (tries, failures))
 
     def test_phases(self):
         old, new = _make_engine("e1"), _make_engine("e2", version="v2")
@@ -238,24 +242,26 @@
         ]
         for engines, expected in cases:
             with self.subTest(expected=expected):
-                self.assertEqual(self._advance(engines, _NONE, _NONE), expected)
-        stopped = self._advance([new], _NONE, _NONE, RolloutPhase.STOPPED)
+                self.assertEqual(
+                    self._advance(engines, _NO_OUTCOMES, _NO_OUTCOMES), expected
+                )
+        stopped = self._advance([new], _NO_OUTCOMES, _NO_OUTCOMES, RolloutPhase.STOPPED)
         self.assertEqual(stopped, RolloutPhase.STOPPED)
 
-    def test_the_next_target_waits_until_the_last_one_has_served(self):
+    def test_next_target_is_changed_only_after_the_last_one_has_served(self):
         rollout = Rollout(version="v2", phase=RolloutPhase.RUNNING, changed_at=0.0)
-        enough = replace(_NONE, tries=ENOUGH_TRIES)
+        enough = replace(_NO_OUTCOMES, tries=SOAK_ATTEMPTS)
         cases = [
             (enough, SETTLE_S / 2, False),
             (enough, SETTLE_S, True),
-            (_NONE, SETTLE_S, False),
-            (_NONE, SOAK_S, True),
+            (_NO_OUTCOMES, SETTLE_S, False),
+            (_NO_OUTCOMES, SOAK_S, True),
         ]
         engines = [_make_engine("e1"), _make_engine("e2", version="v2")]
         for new, now, expected in cases:
-            has = has_soaked(rollout, engines, new, now=now)
-            self.assertEqual(has, expected)
-        self.assertTrue(has_soaked(rollout, engines[:1], _NONE, now=0.0))
+            is_soaked = has_soaked(rollout, engines, new, now=now)
+            self.assertEqual(is_soaked, expected)
+        self.assertTrue(has_soaked(rollout, engines[:1], _NO_OUTCOMES, now=0.0))
 
     def test_chains_have_neither_gap_nor_overlap(self):
         cases = [
@@ -268,7 +274,7 @@
         for ranges, expected in cases:
             self.assertEqual(has_whole_chain(ranges, 24), expected, ranges)
 
-    def test_only_what_holds_the_model_can_serve(self):
+    def test_only_targets_with_the_right_state_can_serve(self):
         engine = _make_engine("e1")
         loading = replace(engine.held, is_loading=True)
         cases = [
@@ -282,7 +288,7 @@
             (_make_engine("e1", layers=(0, 12)).held, None, False),
         ]
         for held, adapter, expected in cases:
-            can = can_serve(
+            is_able = can_serve(
                 held, model="m", versions=_VERSIONS, adapter=adapter, layers=(0, 24)
             )
-            self.assertEqual(can, expected, (held, adapter))
+            self.assertEqual(is_able, expected, (held, adapter))
