--- a/packages/core/fulmarward_core/chains/_types.py
+++ b/packages/core/fulmarward_core/chains/_types.py
@@ -1,4 +1,4 @@
-"""What is known of targets when a chain is chosen."""
+"""Types of chain selection."""
 
 from dataclasses import dataclass, field
 
@@ -7,23 +7,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StageOffer:
-    """A target that can run any range inside the layers it holds, and the price."""
+    """A target that can run any range of its layers, with the cost of doing so."""
 
-    #: Name of the target.
     target: str
     #: First layer held, and one past the last.
     layers: tuple[int, int]
-    #: Cost of one call in milliseconds, however many layers it runs.
+    #: Fixed cost of a call in milliseconds, independent of the number of layers.
     call_ms: float
-    #: Cost of one layer in milliseconds.
+    #: Cost per layer in milliseconds.
     layer_ms: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Chain:
-    """Stages in the order of their layers, without a gap or an overlap."""
+    """Stages in the order of their layers, without gaps or overlaps."""
 
-    #: The stages.
     stages: tuple[Stage, ...]
     #: Expected cost of one token in milliseconds.
     cost_ms: float
@@ -31,17 +29,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ExtraTime:
-    """How much longer a target's steps take than its declaration lets expect."""
+    """Smoothed excess of a target's step time over the time that it declares."""
 
-    #: Milliseconds, smoothed.
     extra_ms: float
-    #: When the last step was measured, seconds on the steady clock.
+    #: Time of the last measurement, in seconds on the monotonic clock.
     measured_at: float
 
 
 @dataclass(kw_only=True)
 class StepTimes:
-    """The step times that one instance has measured, by target."""
+    """Step times measured by one instance."""
 
-    #: By name of the target; bounded by the targets that are declared.
+    #: By target name; bounded by the number of declared targets.
     extra: dict[str, ExtraTime] = field(default_factory=dict)
