--- a/packages/core/fulmarward_core/keys/_claims.py
+++ b/packages/core/fulmarward_core/keys/_claims.py
@@ -1,37 +1,37 @@
-"""Claims of keys that callers invented: rows that name a key handed out for them."""
+"""Claims of keys that callers chose: rows that map them to issued keys."""
 
 import hashlib
 from dataclasses import dataclass
 from typing import Any
 
-#: Letters of a row's key, 128 bits of the hash over team and key.
-ROW_KEY_LETTERS = 32
+#: Length of a row's key: 128 bits of the hash over team and key, in hex.
+ROW_KEY_LENGTH = 32
 
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimRow:
-    """What a claim's row says."""
+    """The content of a claim's row."""
 
-    #: The key handed out in place of the invented one; it names home and witness.
+    #: The key issued in place of the caller's; it names home and witness.
     handed: str
-    #: Hash of the body that it was claimed with.
+    #: Hash of the body of the claiming request.
     body_hash: str
-    #: When it was claimed, seconds since 1970.
+    #: Time of the claim, in seconds since 1970.
     claimed_at: float
 
 
 def make_row_key(team: str, key: str) -> str:
-    """Return the row's key of a team's invented key: spread evenly, one team's own."""
+    """Return the row key of a team's key; hashing spreads rows and separates teams."""
     digest = hashlib.sha256(f"{team}\0{key}".encode())
-    return digest.hexdigest()[:ROW_KEY_LETTERS]
+    return digest.hexdigest()[:ROW_KEY_LENGTH]
 
 
 def pack_claim(claim: ClaimRow) -> list[Any]:
-    """Return the row's value."""
+    """Return the value of the claim's row."""
     return [claim.handed, claim.body_hash, claim.claimed_at]
 
 
 def unpack_claim(value: Any) -> ClaimRow:  # noqa: ANN401
-    """Return the claim in a row's value."""
+    """Return the claim from the value of its row."""
     handed, body_hash, claimed_at = value
     return ClaimRow(handed=handed, body_hash=body_hash, claimed_at=claimed_at)
--- a/packages/core/fulmarward_core/keys/_prefixes.py
+++ b/packages/core/fulmarward_core/keys/_prefixes.py
@@ -1,8 +1,8 @@
-"""Idempotency keys that the system hands out.
+"""Idempotency keys with a prefix that the system issues.
 
-A key is a sealed prefix, which ends with a dot, and a suffix of the caller's own
-choice. The prefix names the instances that keep the key, so any instance finds them
-from the key alone, and it is bound to one team.
+A key consists of a sealed prefix, which ends with a dot, and a suffix that the caller
+chooses. The prefix names the instances that store the key, so that any instance finds
+them from the key alone, and is bound to one team.
 """
 
 import base64
@@ -15,56 +15,55 @@
 
 from fulmarward_core.membership import Incarnation
 
-#: First characters of every prefix. A key that begins so and does not open is
-#: refused, so that another team's key is never taken for one the caller invented.
+#: First characters of every prefix. A key that starts with them and fails verification
+#: is refused, so that another team's key is never taken for one that the caller chose.
 PREFIX_MARK = "fk1."
 
-#: Bytes of the seal. It guards nothing but the names inside; 12 are past guessing.
-SEAL_BYTES = 12
+#: Bytes of the truncated HMAC. It protects only the names inside, and 12 bytes cannot
+#: be guessed.
+MAC_BYTES = 12
 
-#: Longest key taken, in characters. Harm: keys are kept in tables of other
-#: instances; reason: a prefix has about 150 and a random suffix 36.
-MOST_KEY_CHARACTERS = 400
+#: Maximum length of a key, which bounds the tables of other instances that store it. A
+#: prefix has about 150 characters and a random suffix 36.
+MAX_KEY_LENGTH = 400
 
-#: A suffix may begin with a dot: callers join the parts with one of their own.
+#: A suffix may start with a dot, since callers join the parts with a dot of their own.
 _SUFFIX = re.compile(r"[A-Za-z0-9._-]{1,128}")
-_INVENTED = re.compile(r"[\x21-\x7e]{1,255}")
+_CALLER_CHOSEN = re.compile(r"[\x21-\x7e]{1,255}")
 
 
 @dataclass(frozen=True, kw_only=True)
 class KeyPrefix:
-    """What a prefix says."""
+    """The content of a prefix."""
 
-    #: The instance that alone may dispatch requests of its keys.
+    #: The only instance that may dispatch requests with these keys.
     home: Incarnation
-    #: The instance that must acknowledge each dispatch, if there is another one.
+    #: The instance that must acknowledge each dispatch; `None` without other instances.
     witness: Incarnation | None
-    #: When keys are last taken for new requests, seconds since 1970.
+    #: Time until which keys are accepted for new requests, in seconds since 1970.
     expires_at: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class HandedKey:
-    """A key whose prefix the system handed out to this team."""
+    """A key whose prefix the system issued to this team."""
 
-    #: The whole key, as the caller sent it.
+    #: The whole key as the caller sent it.
     text: str
-    #: What its prefix says.
     prefix: KeyPrefix
 
 
 @dataclass(frozen=True, kw_only=True)
 class InventedKey:
-    """A key that the caller made up."""
+    """A key that the caller chose, without an issued prefix."""
 
-    #: The key.
     text: str
 
 
 def seal_prefix(prefix: KeyPrefix, *, team: str, secret: bytes) -> str:
-    """Return `prefix` in a form that only `team` can use and nobody can change.
+    """Return `prefix` with an HMAC that binds it to `team` and prevents changes.
 
-    It ends with the dot, so that a caller only appends its suffix.
+    The result ends with the dot, so that a caller only appends its suffix.
     """
     witness = prefix.witness
     items = [
@@ -75,22 +74,22 @@
         prefix.expires_at,
     ]
     body = json.dumps(items, separators=(",", ":")).encode()
-    sealed = _compute_seal(body, team, secret) + body
+    sealed = _compute_mac(body, team, secret) + body
     return PREFIX_MARK + base64.urlsafe_b64encode(sealed).decode().rstrip("=") + "."
 
 
 def open_key(
     text: str, *, team: str, secrets: Sequence[bytes]
 ) -> HandedKey | InventedKey | None:
-    """Return what a key is, or `None` for one that cannot be used by this team.
+    """Return the parsed key, or `None` if this team cannot use it.
 
-    All of `secrets` are tried: a key handed out before the fleet's secret was
-    changed must still be found, or its request might be taken for another one.
+    All of `secrets` are tried: a key issued before the fleet's secret was changed must
+    still be recognised, otherwise its request might be taken for a different one.
     """
     if not text.startswith(PREFIX_MARK):
-        return InventedKey(text=text) if _INVENTED.fullmatch(text) else None
+        return InventedKey(text=text) if _CALLER_CHOSEN.fullmatch(text) else None
     sealed, _, suffix = text[len(PREFIX_MARK) :].partition(".")
-    if len(text) > MOST_KEY_CHARACTERS or not _SUFFIX.fullmatch(suffix):
+    if len(text) > MAX_KEY_LENGTH or not _SUFFIX.fullmatch(suffix):
         return None
     prefix = _open_prefix(sealed, team, secrets)
     return HandedKey(text=text, prefix=prefix) if prefix else None
@@ -101,10 +100,9 @@
         raw = base64.urlsafe_b64decode(sealed.encode() + b"=" * (-len(sealed) % 4))
     except ValueError:
         return None
-    seal, body = raw[:SEAL_BYTES], raw[SEAL_BYTES:]
+    mac, body = raw[:MAC_BYTES], raw[MAC_BYTES:]
     if not any(
-        hmac.compare_digest(seal, _compute_seal(body, team, secret))
-        for secret in secrets
+        hmac.compare_digest(mac, _compute_mac(body, team, secret)) for secret in secrets
     ):
         return None
     home, home_boot, witness, witness_boot, expires_at = json.loads(body)
@@ -115,6 +113,6 @@
     )
 
 
-def _compute_seal(body: bytes, team: str, secret: bytes) -> bytes:
+def _compute_mac(body: bytes, team: str, secret: bytes) -> bytes:
     message = team.encode() + b"\0" + body
-    return hmac.new(secret, message, hashlib.sha256).digest()[:SEAL_BYTES]
+    return hmac.new(secret, message, hashlib.sha256).digest()[:MAC_BYTES]
--- a/packages/core/fulmarward_core/keys/_types.py
+++ b/packages/core/fulmarward_core/keys/_types.py
@@ -1,4 +1,4 @@
-"""The tables of idempotency keys: one at a key's home, one at its witness."""
+"""Tables of idempotency keys at their home and their witness."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,164 +8,157 @@
 
 
 class KeyState(StrEnum):
-    """Where the request of a key is, as its home knows."""
+    """State of a key's request at its home."""
 
     RUNNING = "running"
     ENDED = "ended"
 
 
 class Claim(StrEnum):
-    """What the home does with a call that carries a key."""
+    """Decision of the home on a call with a key."""
 
-    #: The key is new: execute the request.
+    #: The key is new: run the request.
     START = "start"
-    #: Read the answer that is running or kept.
+    #: Read the answer of the running request, or the stored answer.
     ATTACH = "attach"
-    #: It ended and its answer is not kept: tell the outcome.
+    #: The request ended and its answer is no longer stored: report the outcome.
     TELL = "tell"
-    #: The key came before with another body.
+    #: The key was used before with a different body.
     OTHER_BODY = "other_body"
-    #: It did not run before the key's time was over, and never will.
+    #: The request did not run before the key expired and never will.
     EXPIRED = "expired"
     #: The key is so old that its entry may have been dropped.
     TOO_OLD = "too_old"
-    #: The table has no room; nothing is said about the key.
+    #: The table is full; nothing is known about the key.
     FULL = "full"
 
 
 class RecordVerdict(StrEnum):
-    """What the witness says to a home that wants to dispatch."""
+    """Reply of the witness to a home that asks to dispatch an attempt."""
 
-    #: The attempt is recorded: dispatch it.
+    #: The attempt is recorded and may be dispatched.
     KEPT = "kept"
-    #: The key is closed or taken over and runs no more attempts.
+    #: The key is closed or taken over: no more attempts may run.
     CLOSED = "closed"
-    #: The witness knows of an execution that is not this home's request.
+    #: The witness has a record of a different execution than this home's request.
     UNKNOWN = "unknown"
 
 
 class RecordState(StrEnum):
-    """What a witness knows of a key."""
+    """State of a key's record at its witness."""
 
     #: The home may dispatch the recorded attempts.
     RECORDED = "recorded"
-    #: Someone took the key over: the home may dispatch no more.
+    #: Another instance took the key over: the home may no longer dispatch.
     TAKEN = "taken"
-    #: A target is known to have begun.
+    #: A target is known to have started.
     BEGAN = "began"
-    #: The request is known to be over.
+    #: The request is known to have ended.
     ENDED = "ended"
     #: The request has not run and never will.
     CLOSED = "closed"
 
 
 class RecordStep(StrEnum):
-    """What can happen to a record."""
+    """Events that change a record."""
 
     #: The home asks to dispatch an attempt.
     RECORD = "record"
-    #: An instance that cannot reach the home asks what is known.
+    #: An instance that cannot reach the home takes the key over.
     TAKE = "take"
-    #: A target began.
+    #: A target started.
     BEGIN = "begin"
-    #: The request is over.
+    #: The request ended.
     END = "end"
-    #: It is proved that nothing ran.
+    #: It is proven that nothing ran.
     CLOSE = "close"
 
 
 @dataclass(kw_only=True)
-class KeptAnswers:
-    """Which answers of a table are kept, oldest first, within a bound of bytes."""
+class StoredAnswers:
+    """Answers stored in a table, oldest first, within a limit of bytes."""
 
-    #: (key, when it is dropped, its bytes).
+    #: Key, time of removal and size in bytes.
     items: deque[tuple[str, float, int]] = field(default_factory=deque)
-    #: Bytes of all of them.
+    #: Total size.
     bytes: int = 0
 
 
 @dataclass(kw_only=True)
 class KeyEntry:
-    """One key at its home."""
+    """A key at its home."""
 
     #: Hash of the request's body.
     body_hash: str
-    #: Running or ended.
     state: KeyState
-    #: When the entry may be dropped, seconds since 1970.
+    #: Time from which the entry may be removed, in seconds since 1970.
     drop_at: float
-    #: The answer while it runs or is kept; what it is the table does not ask.
+    #: The answer while the request runs or while it is stored; opaque to the table.
     answer: object | None = None
-    #: What a repeat is told once the answer is not kept.
+    #: Outcome reported to repeated calls once the answer is no longer stored.
     outcome: Failure | None = None
 
 
 @dataclass(kw_only=True)
 class KeyTable:
-    """All keys that this instance is the home of, oldest first."""
+    """The keys whose home is this instance, oldest first."""
 
-    #: Entries by key.
     entries: dict[str, KeyEntry] = field(default_factory=dict)
-    #: Ended answers that are kept.
-    kept: KeptAnswers = field(default_factory=KeptAnswers)
-    #: The latest time seen: a clock set back brings no dropped key to life.
+    #: Stored answers of requests that ended.
+    kept: StoredAnswers = field(default_factory=StoredAnswers)
+    #: Latest time seen, so that a clock set back does not make a removed key new again.
     latest: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class AttemptPlace:
-    """Where an attempt may have been dispatched to."""
+    """The target that an attempt may have been dispatched to."""
 
     #: Number of the attempt.
     attempt: int
-    #: Name of the target.
     target: str
-    #: Address `IP:PORT` of the target.
+    #: Address of the target, `IP:PORT`.
     address: str
-    #: Whether the target has a stream that can be resumed and closed by its name.
+    #: Whether the attempt has a stream that can be resumed and closed by its name.
     has_stream: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class ResultCopy:
-    """A short answer of a call that cannot be made again."""
+    """A copy of a short answer to a call that cannot be repeated."""
 
     #: HTTP status.
     status: int
-    #: The body and its type.
     body: bytes
     content_type: str
 
 
 @dataclass(kw_only=True)
 class WitnessRecord:
-    """One key at its witness."""
+    """A key at its witness."""
 
     #: Hash of the request's body.
     body_hash: str
     #: Id of the request; empty for a key closed before it was recorded.
     request: str
-    #: What is known.
     state: RecordState
-    #: When the record may be dropped, seconds since 1970.
+    #: Time from which the record may be removed, in seconds since 1970.
     drop_at: float
-    #: When it was first recorded, seconds on the witness's steady clock.
+    #: Time of the first record, in seconds on the witness's monotonic clock.
     recorded_at: float
     #: Attempts that the home may have dispatched.
     places: tuple[AttemptPlace, ...] = ()
-    #: How it ended, if it ended badly.
     failure: Failure | None = None
-    #: The answer of a call that cannot be re-attached, while it is kept.
+    #: Stored answer of a call without a stream to resume.
     answer: ResultCopy | None = None
 
 
 @dataclass(kw_only=True)
 class WitnessTable:
-    """All keys that this instance is the witness of, oldest first."""
+    """The keys whose witness is this instance, oldest first."""
 
-    #: Records by key.
     records: dict[str, WitnessRecord] = field(default_factory=dict)
-    #: Copies of answers that are kept.
-    kept: KeptAnswers = field(default_factory=KeptAnswers)
-    #: The latest time seen.
+    #: Stored copies of answers.
+    kept: StoredAnswers = field(default_factory=StoredAnswers)
+    #: Latest time seen, as in `KeyTable`.
     latest: float = 0.0
--- a/packages/core/fulmarward_core/keys/decisions/__init__.py
+++ b/packages/core/fulmarward_core/keys/decisions/__init__.py
@@ -1,6 +1,6 @@
-"""Decisions about idempotency keys at their home, their witness and elsewhere.
+"""Decisions on idempotency keys at their home, their witness and other instances.
 
-Only the home dispatches, and only attempts that the witness has recorded. An
-instance that cannot reach the home takes the key over at the witness; from then on
-the witness records nothing more, so that what it says of the past stays true.
+Only the home dispatches attempts, and only those that the witness has recorded. An
+instance that cannot reach the home takes the key over at the witness. From then on the
+witness records no further attempts, so its reply remains true.
 """
--- a/packages/core/fulmarward_core/keys/decisions/_ages.py
+++ b/packages/core/fulmarward_core/keys/decisions/_ages.py
@@ -1,52 +1,52 @@
-"""How long entries and answers are kept, and what their absence proves."""
+"""Retention of entries and answers, and what a missing entry proves."""
 
 from collections.abc import Mapping
 
 from fulmarward_core.keys._types import (
     Claim,
-    KeptAnswers,
     KeyEntry,
+    StoredAnswers,
     WitnessRecord,
 )
 
-#: Entries of one table. Load: 24 requests/s for each of 330 instances, kept for 11
-#: minutes, make 16,000; harm: memory past 256 MB; reason: three times that load at
-#: about 600 bytes each is 30 MB.
-MOST_ENTRIES = 50_000
+#: Maximum number of entries in a table, so that an instance stays within 256 MB of
+#: memory. 24 requests/s for each of 330 instances, kept for 11 minutes, make 16,000
+#: entries; three times that number at about 600 bytes each takes 30 MB.
+MAX_ENTRIES = 50_000
 
-#: Seconds that a key's entry outlives the key's time. Harm: after it nobody can say
-#: whether the request ran; reason: callers give up long before.
+#: Seconds for which an entry is retained after its key has expired. Afterwards nobody
+#: can tell whether the request ran; callers give up long before.
 RETAIN_S = 60.0
 
-#: Bytes of kept answers in one table. Harm: memory past 256 MB; reason: an eighth of
-#: it for each of the two tables.
-MOST_KEPT_BYTES = 32_000_000
+#: Maximum total size of the answers stored in a table: an eighth of the 256 MB of
+#: memory for each of the two tables.
+MAX_STORED_BYTES = 32_000_000
 
-#: Entries looked at for dropping at each call, so that no call pays for all.
-DROPS_AT_ONCE = 4
+#: Entries checked for removal per call, which spreads the cost over calls.
+MAX_CHECKS_PER_CALL = 4
 
 
-def judge_age(expires_at: float, now: float) -> Claim | None:
-    """Return why a key without an entry is not new, by its age.
+def check_age(expires_at: float, now: float) -> Claim | None:
+    """Return why a key without an entry cannot be new, `None` if it can be.
 
-    Guards against a late repeat running again after its entry was dropped. Entries
-    outlive the key's time by `RETAIN_S`: until then a missing one proves that
-    nothing ran, and after the key's time nothing begins.
+    Guards against a late repeat that runs again after its entry was removed. Entries
+    are retained for `RETAIN_S` after the key expires. Until then a missing entry proves
+    that nothing ran, and no request starts after the key has expired.
     """
     if now > expires_at + RETAIN_S:
         return Claim.TOO_OLD
     return Claim.EXPIRED if now > expires_at else None
 
 
-def keep_answer(kept: KeptAnswers, key: str, size: int, drop_at: float) -> None:
+def store_answer(kept: StoredAnswers, key: str, size: int, drop_at: float) -> None:
     kept.items.append((key, drop_at, size))
     kept.bytes += size
 
 
-def forget_answers(
-    kept: KeptAnswers, entries: Mapping[str, KeyEntry | WitnessRecord], now: float
+def drop_answers(
+    kept: StoredAnswers, entries: Mapping[str, KeyEntry | WitnessRecord], now: float
 ) -> None:
-    while kept.items and (kept.items[0][1] < now or kept.bytes > MOST_KEPT_BYTES):
+    while kept.items and (kept.items[0][1] < now or kept.bytes > MAX_STORED_BYTES):
         key, _, size = kept.items.popleft()
         kept.bytes -= size
         if key in entries:
--- a/packages/core/fulmarward_core/keys/decisions/_conclusions.py
+++ b/packages/core/fulmarward_core/keys/decisions/_conclusions.py
@@ -1,4 +1,4 @@
-"""What follows for a caller from a witness's record."""
+"""Conclusions that other instances draw from a witness's record."""
 
 from collections.abc import Iterable, Sequence
 from enum import StrEnum
@@ -12,24 +12,24 @@
 
 
 class Conclusion(StrEnum):
-    """What an instance that took a key over does."""
+    """Result of a key's takeover."""
 
     #: The request never ran and never will.
     NOT_RUN = "not_run"
-    #: The answer can be read from a target's stream.
+    #: The answer can be resumed from a target's stream.
     RESUME = "resume"
-    #: The answer's copy is there.
+    #: The record holds a copy of the answer.
     COPY = "copy"
-    #: The request failed; the record says how.
+    #: The request failed; the record holds the failure.
     FAILED = "failed"
-    #: The request ran and its answer is not kept.
+    #: The request ran and its answer is no longer stored.
     SPENT = "spent"
-    #: Nobody can tell.
+    #: The outcome cannot be determined.
     UNKNOWN = "unknown"
 
 
 def conclude_take(record: WitnessRecord | None) -> Conclusion:
-    """Return what follows from a witness's record."""
+    """Return the conclusion from the record of a key that was taken over."""
     if record is None:
         return Conclusion.UNKNOWN
     if record.state is RecordState.CLOSED:
@@ -45,28 +45,28 @@
     return Conclusion.UNKNOWN
 
 
-#: What targets answer when a stream is closed by its name.
+#: A target's reply when a stream is closed that has not started there.
 CLOSED_BEFORE_START = "closed_before_start"
 
-_RAN_REPLIES = ("cancelled", "ended")
+_REPLIES_AFTER_START = ("cancelled", "ended")
 
 
 def conclude_closing(
     record: WitnessRecord, replies: Sequence[str | None]
 ) -> ResultCode:
-    """Return the truth about a request whose stream could not be read any more.
+    """Return the result code of a request whose stream can no longer be read.
 
-    `replies` holds what the target of each recorded attempt said when its stream was
-    closed, `None` for no answer. "Not run" needs every one of them to have closed
-    the name before it began, and no word that any began: an engine that was
-    forgot closes the name of a stream that it ran.
+    `replies` holds the reply of each recorded attempt's target to closing its stream,
+    `None` for no answer. A request counts as not run only if every target closed the
+    name before it started and the record shows no start: an engine that has forgotten
+    a stream that it ran also replies that it closed the name before the start.
     """
     if len(replies) != len(record.places):
         return ResultCode.OUTCOME_UNKNOWN
-    if any(reply in _RAN_REPLIES for reply in replies):
+    if any(reply in _REPLIES_AFTER_START for reply in replies):
         return ResultCode.STREAM_LOST
-    has_begun = record.state not in (RecordState.RECORDED, RecordState.TAKEN)
-    if has_begun:
+    has_started = record.state not in (RecordState.RECORDED, RecordState.TAKEN)
+    if has_started:
         return (
             ResultCode.ALREADY_RAN
             if record.state is RecordState.ENDED
@@ -78,6 +78,6 @@
 
 
 def list_closable(places: Iterable[AttemptPlace]) -> list[AttemptPlace]:
-    """Return the attempts that can be read or closed, the latest first."""
+    """Return the attempts whose streams can be read or closed, latest first."""
     streams = [place for place in places if place.has_stream]
     return sorted(streams, key=lambda place: place.attempt, reverse=True)
--- a/packages/core/fulmarward_core/keys/decisions/_home.py
+++ b/packages/core/fulmarward_core/keys/decisions/_home.py
@@ -1,4 +1,4 @@
-"""The home of a key: what a call is to it, and when it ends."""
+"""Decisions of a key's home: claims and ends of requests."""
 
 from fulmarward_core.keys._types import (
     Claim,
@@ -7,12 +7,12 @@
     KeyTable,
 )
 from fulmarward_core.keys.decisions._ages import (
-    DROPS_AT_ONCE,
-    MOST_ENTRIES,
+    MAX_CHECKS_PER_CALL,
+    MAX_ENTRIES,
     RETAIN_S,
-    forget_answers,
-    judge_age,
-    keep_answer,
+    check_age,
+    drop_answers,
+    store_answer,
 )
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
@@ -26,17 +26,17 @@
 def claim_key(
     table: KeyTable, key: str, *, body_hash: str, expires_at: float, now: float
 ) -> tuple[Claim, KeyEntry | None]:
-    """Decide what the home does with a call; a new key gets its entry."""
+    """Decide on a call with a key, and add an entry if the key is new."""
     table.latest = max(table.latest, now)
-    forget_answers(table.kept, table.entries, table.latest)
+    drop_answers(table.kept, table.entries, table.latest)
     _drop_entries(table)
     entry = table.entries.get(key)
     if entry is not None:
         if entry.body_hash != body_hash:
             return Claim.OTHER_BODY, None
         return _CLAIMS[entry.state, entry.answer is not None], entry
-    refusal = judge_age(expires_at, table.latest)
-    if refusal is None and len(table.entries) >= MOST_ENTRIES:
+    refusal = check_age(expires_at, table.latest)
+    if refusal is None and len(table.entries) >= MAX_ENTRIES:
         refusal = Claim.FULL
     if refusal is not None:
         return refusal, None
@@ -56,7 +56,7 @@
     keep_s: float,
     now: float,
 ) -> None:
-    """Note that the request of a key is over; its answer is kept for a while."""
+    """Record that a key's request ended; its answer is stored for `keep_s`."""
     table.latest = max(table.latest, now)
     entry = table.entries.get(key)
     if entry is None or entry.state is KeyState.ENDED:
@@ -64,18 +64,18 @@
     entry.state = KeyState.ENDED
     entry.outcome = failure or make_failure(ResultCode.ALREADY_RAN)
     entry.drop_at = max(entry.drop_at, table.latest + RETAIN_S)
-    keep_answer(table.kept, key, size, table.latest + keep_s)
-    forget_answers(table.kept, table.entries, table.latest)
+    store_answer(table.kept, key, size, table.latest + keep_s)
+    drop_answers(table.kept, table.entries, table.latest)
 
 
 def forget_key(table: KeyTable, key: str) -> None:
-    """Drop a key whose request may run again: it failed and is idempotent."""
+    """Remove a key whose request failed and may run again, as it is idempotent."""
     table.entries.pop(key, None)
 
 
 def _drop_entries(table: KeyTable) -> None:
     entries = table.entries
-    for _ in range(min(DROPS_AT_ONCE, len(entries))):
+    for _ in range(min(MAX_CHECKS_PER_CALL, len(entries))):
         key = next(iter(entries))
         if entries[key].drop_at >= table.latest:
             return
--- a/packages/core/fulmarward_core/keys/decisions/_witness.py
+++ b/packages/core/fulmarward_core/keys/decisions/_witness.py
@@ -1,4 +1,4 @@
-"""The witness of a key: recording, taking over, noting the end."""
+"""Decisions of a key's witness: records, takeovers and ends of requests."""
 
 from fulmarward_core.keys._types import (
     AttemptPlace,
@@ -11,18 +11,18 @@
     WitnessTable,
 )
 from fulmarward_core.keys.decisions._ages import (
-    DROPS_AT_ONCE,
-    MOST_ENTRIES,
+    MAX_CHECKS_PER_CALL,
+    MAX_ENTRIES,
     RETAIN_S,
-    forget_answers,
-    judge_age,
-    keep_answer,
+    check_age,
+    drop_answers,
+    store_answer,
 )
 from fulmarward_core.results import Failure, Ran
 
-#: What a record becomes; a step that is not here changes nothing. `None` is a key
-#: that the witness has no record of.
-_STEPS = {
+#: State transitions of a record; a step without an entry changes nothing. `None` stands
+#: for a key without a record.
+_TRANSITIONS = {
     (None, RecordStep.RECORD): RecordState.RECORDED,
     (None, RecordStep.TAKE): RecordState.CLOSED,
     (RecordState.RECORDED, RecordStep.RECORD): RecordState.RECORDED,
@@ -39,15 +39,15 @@
 
 def _drop_records(table: WitnessTable) -> None:
     records = table.records
-    for _ in range(min(DROPS_AT_ONCE, len(records))):
+    for _ in range(min(MAX_CHECKS_PER_CALL, len(records))):
         key = next(iter(records))
         if records[key].drop_at >= table.latest:
             return
         del records[key]
 
 
-def _step_record(record: WitnessRecord, step: RecordStep) -> bool:
-    state = _STEPS.get((record.state, step))
+def _apply_step(record: WitnessRecord, step: RecordStep) -> bool:
+    state = _TRANSITIONS.get((record.state, step))
     if state is None:
         return False
     record.state = state
@@ -64,13 +64,13 @@
     drop_at: float,
     recorded_at: float,
 ) -> WitnessRecord | None:
-    """Return a new record, or `None` when the table has no room for it."""
-    if len(table.records) >= MOST_ENTRIES:
+    """Return a new record, or `None` if the table is full."""
+    if len(table.records) >= MAX_ENTRIES:
         return None
     table.records[key] = record = WitnessRecord(
         body_hash=body_hash,
         request=request,
-        state=_STEPS[None, step],
+        state=_TRANSITIONS[None, step],
         drop_at=drop_at,
         recorded_at=recorded_at,
     )
@@ -79,7 +79,7 @@
 
 def _advance(table: WitnessTable, now: float) -> None:
     table.latest = max(table.latest, now)
-    forget_answers(table.kept, table.records, table.latest)
+    drop_answers(table.kept, table.records, table.latest)
     _drop_records(table)
 
 
@@ -94,17 +94,17 @@
     now: float,
     steady_now: float,
 ) -> RecordVerdict:
-    """Record that the home is about to dispatch; say whether it may.
+    """Record that the home is about to dispatch an attempt; return whether it may.
 
-    Guards against a home that was paused and wakes after its key was taken over or
-    closed: the record is in another state then, and the answer is no. A first
-    record after the key's time is refused by the witness's own clock alone, so no
-    two clocks have to agree before records are dropped.
+    Guards against a home that was paused while its key was taken over or closed: the
+    record's state has changed, and the attempt is refused. A first record after the
+    key has expired is refused by the witness's clock alone, so that no two clocks have
+    to agree before records are removed.
     """
     _advance(table, now)
     record = table.records.get(key)
     if record is None:
-        if judge_age(expires_at, table.latest) is not None:
+        if check_age(expires_at, table.latest) is not None:
             return RecordVerdict.CLOSED
         record = _add_record(
             table,
@@ -121,7 +121,7 @@
         return RecordVerdict.CLOSED
     elif (record.request, record.body_hash) != (request, body_hash):
         return RecordVerdict.UNKNOWN
-    elif not _step_record(record, RecordStep.RECORD):
+    elif not _apply_step(record, RecordStep.RECORD):
         is_taken = record.state is RecordState.TAKEN
         return RecordVerdict.CLOSED if is_taken else RecordVerdict.UNKNOWN
     if place not in record.places:
@@ -132,18 +132,18 @@
 def take_key(
     table: WitnessTable, key: str, *, body_hash: str, expires_at: float, now: float
 ) -> WitnessRecord | None:
-    """Take a key over from a home that cannot be reached; return what is known.
+    """Take a key over from a home that cannot be reached; return its record.
 
-    `None` says that nobody can tell: the record may have been dropped, or there is
-    no room to close the key.
+    `None` means that the outcome cannot be determined: the record may have been
+    removed, or the table is full, so that the key cannot be closed.
     """
     _advance(table, now)
     record = table.records.get(key)
     if record is not None:
         if record.body_hash == body_hash:
-            _step_record(record, RecordStep.TAKE)
+            _apply_step(record, RecordStep.TAKE)
         return record
-    if judge_age(expires_at, table.latest) is Claim.TOO_OLD:
+    if check_age(expires_at, table.latest) is Claim.TOO_OLD:
         return None
     return _add_record(
         table,
@@ -166,19 +166,19 @@
     keep_s: float = 0.0,
     now: float,
 ) -> bool:
-    """Note what became of a recorded request; return whether the record took it."""
+    """Apply a step to a recorded request; return whether the record accepts it."""
     _advance(table, now)
     record = table.records.get(key)
     if record is None:
         return False
     if failure is not None and failure.ran is Ran.NOT_RUN and step is RecordStep.END:
         step = RecordStep.CLOSE
-    if not _step_record(record, step):
+    if not _apply_step(record, step):
         return False
     record.failure = failure
     record.drop_at = max(record.drop_at, table.latest + RETAIN_S)
     if answer is not None:
         record.answer = answer
-        keep_answer(table.kept, key, len(answer.body), table.latest + keep_s)
-        forget_answers(table.kept, table.records, table.latest)
+        store_answer(table.kept, key, len(answer.body), table.latest + keep_s)
+        drop_answers(table.kept, table.records, table.latest)
     return True
--- a/packages/core/fulmarward_core/keys/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/keys/tests/test_decisions.py
@@ -19,7 +19,7 @@
     record_attempt,
     take_key,
 )
-from fulmarward_core.keys.decisions._ages import MOST_ENTRIES, RETAIN_S
+from fulmarward_core.keys.decisions._ages import MAX_ENTRIES, RETAIN_S
 from fulmarward_core.results import ResultCode, make_failure
 
 _STREAM = AttemptPlace(attempt=1, target="e1", address="e1", has_stream=True)
@@ -57,7 +57,7 @@
 
 
 class HomeTest(unittest.TestCase):
-    def test_a_key_through_its_life(self):
+    def test_claims_over_the_lifetime_of_a_key(self):
         table = KeyTable()
         self.assertEqual(_claim(table), Claim.START)
         self.assertEqual(_claim(table), Claim.ATTACH)
@@ -69,13 +69,13 @@
         self.assertEqual(_claim(table, now=159.0), Claim.TELL)
         self.assertEqual(_claim(table, now=161.0), Claim.TOO_OLD)
 
-    def test_nothing_begins_after_the_keys_time(self):
+    def test_no_request_starts_after_the_key_expires(self):
         table = KeyTable()
         self.assertEqual(_claim(table, now=101.0), Claim.EXPIRED)
         self.assertEqual(_claim(table, now=50.0), Claim.EXPIRED)
         self.assertEqual(_claim(table, now=100.1 + RETAIN_S), Claim.TOO_OLD)
 
-    def test_a_running_request_is_never_forgotten(self):
+    def test_entry_of_a_running_request_is_never_removed(self):
         table = KeyTable()
         _claim(table)
         for number in range(10):
@@ -84,14 +84,14 @@
         _end(table, now=9_002.0)
         self.assertEqual(_claim(table, now=9_050.0), Claim.TELL)
 
-    def test_a_full_table_says_nothing_of_a_key(self):
+    def test_full_table_refuses_new_keys(self):
         table = KeyTable()
-        for number in range(MOST_ENTRIES):
+        for number in range(MAX_ENTRIES):
             _claim(table, key=str(number))
         self.assertEqual(_claim(table, key="one more"), Claim.FULL)
         self.assertEqual(_claim(table, key="7"), Claim.ATTACH)
 
-    def test_answers_are_bounded_in_bytes(self):
+    def test_total_size_of_stored_answers_is_limited(self):
         table = KeyTable()
         for key in "abc":
             _claim(table, key=key)
@@ -101,7 +101,7 @@
 
 
 class WitnessTest(unittest.TestCase):
-    def test_what_may_be_recorded(self):
+    def test_verdicts_on_attempts(self):
         second = AttemptPlace(attempt=2, target="e2", address="e2", has_stream=True)
         table = WitnessTable()
         self.assertEqual(_record(table), RecordVerdict.KEPT)
@@ -114,10 +114,10 @@
         note_record(table, "k", RecordStep.BEGIN, now=0.0)
         self.assertEqual(_record(table), RecordVerdict.UNKNOWN)
 
-    def test_a_paused_home_finds_its_key_taken(self):
-        # A caller is told "not run", takes a new key and its request runs twice: the
-        # home asked for its record, was paused, and its key was taken over meanwhile.
-        # The witness must say no to it for ever after.
+    def test_paused_home_is_refused_after_a_takeover(self):
+        # The home asks for a record and is paused while its key is taken over. If the
+        # witness accepted it afterwards, the request would run although its caller was
+        # told "not run" and has sent it again with a new key.
         table = WitnessTable()
         _record(table)
         self.assertEqual(_take(table).state, RecordState.TAKEN)
@@ -128,14 +128,14 @@
         self.assertEqual(_take(closed).state, RecordState.CLOSED)
         self.assertEqual(_record(closed), RecordVerdict.CLOSED)
 
-    def test_a_dropped_record_is_no_proof(self):
+    def test_removed_record_proves_nothing(self):
         table = WitnessTable()
         _record(table)
         self.assertEqual(_take(table, now=159.0).state, RecordState.TAKEN)
         self.assertIsNone(_take(table, now=161.0))
         self.assertIsNone(_take(table, now=0.0))
 
-    def test_a_refused_request_is_closed(self):
+    def test_refused_request_is_closed(self):
         table = WitnessTable()
         _record(table)
         failure = make_failure(ResultCode.TARGET_REFUSED)
@@ -164,7 +164,7 @@
                 self.assertEqual(conclude_take(_take(table)), expected)
         self.assertEqual(conclude_take(None), Conclusion.UNKNOWN)
 
-    def test_only_closed_names_prove_that_nothing_ran(self):
+    def test_only_names_closed_before_their_start_prove_that_nothing_ran(self):
         taken, began, ended = RecordState.TAKEN, RecordState.BEGAN, RecordState.ENDED
         closed = "closed_before_start"
         cases = [
--- a/packages/core/fulmarward_core/keys/tests/test_prefixes.py
+++ b/packages/core/fulmarward_core/keys/tests/test_prefixes.py
@@ -31,7 +31,7 @@
 
 class OpenKeyTest(unittest.TestCase):
     @given(_PREFIXES)
-    def test_a_prefix_comes_back_for_its_team_alone(self, prefix):
+    def test_prefix_opens_only_for_its_team(self, prefix):
         sealed = seal_prefix(prefix, team="folha", secret=_OLD)
         key = sealed + "suffix"
         if len(key) > 400:
@@ -44,7 +44,7 @@
         self.assertIsNone(open_key(key, team="folha", secrets=[_NEW]))
 
     @given(st.text(max_size=40))
-    def test_any_text_is_judged_without_an_error(self, text):
+    def test_any_text_is_parsed_without_an_error(self, text):
         for key in (text, f"fk1.{text}", f"{_seal()}{text}", f"fk1.{text}.a"):
             open_key(key, team="folha", secrets=[_OLD])
 
