--- a/packages/core/fulmarward_core/requests/__init__.py
+++ b/packages/core/fulmarward_core/requests/__init__.py
@@ -1,4 +1,4 @@
-"""The life of a request and the events of its answer."""
+"""Events of answers and outcomes of requests."""
 
 from fulmarward_core.requests._events import EventBatch, StreamEvent
 from fulmarward_core.requests.decisions import (
--- a/packages/core/fulmarward_core/requests/_events.py
+++ b/packages/core/fulmarward_core/requests/_events.py
@@ -1,23 +1,23 @@
-"""The events of an engine's stream."""
+"""Types of the events in an engine's stream."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event. Positional construction: it is made for every token."""
+    """An event; constructed positionally for speed, since every token makes one."""
 
-    #: The token's text; empty for the end.
+    #: Text of the token, empty for the end of the stream.
     text: str
-    #: Empty for a token, else how the stream ended.
+    #: How the stream ended, empty for a token.
     end: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class EventBatch:
-    """The events that were accepted from what arrived together."""
+    """The events accepted from one batch of received items."""
 
     #: Accepted events, in order and without gaps.
     events: list[StreamEvent]
-    #: Events that were not this attempt's, doubled or out of order.
+    #: Number of events that were duplicate, out of order or of another attempt.
     dropped: int
--- a/packages/core/fulmarward_core/requests/decisions.py
+++ b/packages/core/fulmarward_core/requests/decisions.py
@@ -1,4 +1,4 @@
-"""Which events of a target belong to an answer."""
+"""Assembly of an answer and its outcome from several attempts."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
@@ -6,9 +6,9 @@
 from fulmarward_core.requests._events import EventBatch, StreamEvent
 from fulmarward_core.results import Failure, Ran
 
-#: What a request as a whole may say of itself after several attempts: a higher one
-#: wins. One attempt that ran makes "not run" and "unknown" untrue for good.
-_RAN_RANKS = {Ran.NOT_RUN: 0, Ran.UNKNOWN: 1, Ran.FAILED: 2, Ran.COMPLETE: 3}
+#: Precedence of outcomes when several attempts are combined; the highest applies. Once
+#: one attempt has run, "not run" and "unknown" are false for the request.
+_RAN_PRECEDENCE = {Ran.NOT_RUN: 0, Ran.UNKNOWN: 1, Ran.FAILED: 2, Ran.COMPLETE: 3}
 
 
 def parse_events(
@@ -16,18 +16,18 @@
 ) -> EventBatch:
     """Return the events of this attempt that continue the answer at `next_number`.
 
-    Guards against late, doubled, swapped and foreign replies: an event counts only
+    Late, duplicate, reordered and foreign events are dropped: an event is accepted only
     with this request's id, this attempt's number and exactly the next event number.
     """
     events = []
     dropped = 0
     for item in items:
-        is_ours = (
+        is_expected = (
             item.get("request") == request
             and item.get("attempt") == attempt
             and item.get("n") == next_number
         )
-        if not is_ours:
+        if not is_expected:
             dropped += 1
             continue
         next_number += 1
@@ -38,12 +38,12 @@
 def find_new_texts(
     known: Sequence[str], texts: Sequence[str], *, first: int
 ) -> list[str] | None:
-    """Return which of an attempt's `texts` continue the answer that is `known`.
+    """Return those of an attempt's `texts` that continue the answer `known`.
 
-    `first` is the number of the attempt's texts before these. Guards against an
-    answer sewn together from two different ones: a later attempt begins anew, and
-    when one of its texts differs from what the caller may already have, the result
-    is `None` and the answer cannot go on.
+    `first` is the number of the attempt's texts before these. A later attempt starts
+    again from the beginning. If one of its texts differs from what the caller may have
+    received, the result is `None` and the answer cannot continue, so that no answer
+    mixes two different ones.
     """
     repeated = known[first : first + len(texts)]
     if list(repeated) != list(texts[: len(repeated)]):
@@ -52,11 +52,11 @@
 
 
 def choose_failure(earlier: Failure | None, later: Failure) -> Failure:
-    """Return the failure that is true of a request after both attempts.
+    """Return the failure that holds for a request after both attempts.
 
-    Guards against "not run" from the last of several attempts when an earlier one
-    ran, or may have run.
+    Guards against reporting "not run" from the last attempt when an earlier one ran or
+    may have run.
     """
-    if earlier is None or _RAN_RANKS[later.ran] >= _RAN_RANKS[earlier.ran]:
+    if earlier is None or _RAN_PRECEDENCE[later.ran] >= _RAN_PRECEDENCE[earlier.ran]:
         return later
     return earlier
--- a/packages/core/fulmarward_core/requests/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/requests/tests/test_decisions.py
@@ -19,9 +19,9 @@
 
 class ParseEventsTest(unittest.TestCase):
     @given(_ITEMS)
-    def test_only_this_attempts_next_events_are_taken(self, items):
-        # A target sends late, doubled, swapped and foreign events. What the caller
-        # gets is exactly this attempt's events 1, 2, 3, ... and the rest is counted.
+    def test_only_the_next_events_of_this_attempt_are_accepted(self, items):
+        # A target sends late, duplicate, reordered and foreign events. The caller must
+        # get exactly this attempt's events 1, 2, 3, ..., and the others are counted.
         for item in items:
             item["text"] = f"{item['request']}/{item['attempt']}/{item['n']}"
         batch = parse_events(items, request="mine", attempt=1, next_number=1)
@@ -30,11 +30,12 @@
         self.assertEqual(len(batch.events) + batch.dropped, len(items))
 
 
-class ContinueTest(unittest.TestCase):
+class LaterAttemptTest(unittest.TestCase):
     @given(st.lists(st.sampled_from("ab")), st.lists(st.sampled_from("ab")), st.data())
     def test_later_attempt_never_changes_what_was_sent(self, known, later, data):
-        # The engine dies with part of its answer sent; another one answers anew, in
-        # batches of any size. The caller's answer goes on or ends, never changes.
+        # An engine dies after part of its answer was sent, and another one answers from
+        # the start in batches of any size. The caller's answer continues or ends, but
+        # what was sent never changes.
         answer, seen = list(known), 0
         while seen < len(later):
             size = data.draw(st.integers(1, len(later) - seen))
@@ -47,7 +48,7 @@
             seen += size
         self.assertEqual(answer, later + known[len(later) :])
 
-    def test_failure_of_several_attempts_is_true_of_all(self):
+    def test_failure_holds_for_all_attempts(self):
         not_run = make_failure(ResultCode.TARGET_REFUSED)
         failed = make_failure(ResultCode.TARGET_FAILED)
         unknown = make_failure(ResultCode.OUTCOME_UNKNOWN)
--- a/packages/core/fulmarward_core/streams/__init__.py
+++ b/packages/core/fulmarward_core/streams/__init__.py
@@ -1,4 +1,4 @@
-"""Where a stream runs, in a sealed form that the caller carries."""
+"""Locators of streams, which callers carry in event ids."""
 
 from fulmarward_core.streams._locators import (
     EventId,
--- a/packages/core/fulmarward_core/streams/_locators.py
+++ b/packages/core/fulmarward_core/streams/_locators.py
@@ -1,9 +1,9 @@
-"""Locators: what any instance needs to go on with a stream.
+"""Locators, from which any instance can resume a stream.
 
-Each event's `id:` is a sealed locator, a digest of the texts so far and the event's
-number. An instance that
-never saw the request can attach to the engine's stream again from this alone, so a
-stream outlives the instance that began it, with nothing written anywhere.
+Each event's `id:` consists of a sealed locator, a digest of the texts so far and the
+event's number. It is all that an instance that never saw the request needs to attach to
+the engine's stream again. So a stream outlives the instance that started it, without
+any stored state.
 """
 
 import base64
@@ -15,18 +15,18 @@
 
 import xxhash
 
-#: Bytes of the seal. 12 bytes are past guessing for the minutes a stream lives.
-SEAL_BYTES = 12
+#: Bytes of the truncated HMAC. 12 bytes cannot be guessed in the minutes that a stream
+#: lasts.
+MAC_BYTES = 12
 
-#: Letters of a prompt's digest.
-DIGEST_LETTERS = 12
+#: Length of a prompt's digest in hex digits.
+DIGEST_LENGTH = 12
 
 
 @dataclass(frozen=True, kw_only=True)
 class Stage:
-    """One target of a stream and the layers it runs."""
+    """One target of a stream and the layers that it runs."""
 
-    #: Name of the target.
     target: str
     #: First layer, and one past the last.
     layers: tuple[int, int]
@@ -34,28 +34,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Locator:
-    """The names under which engines know a stream."""
+    """Identification of a stream at its engines, and the terms of its request."""
 
     #: Id of the request.
     request: str
     #: Number of the attempt.
     attempt: int
-    #: The targets in the order of their layers; one for a whole model.
+    #: The targets in the order of their layers; one if it runs the whole model.
     stages: tuple[Stage, ...]
-    #: Name of the pipeline.
     pipeline: str
-    #: Configuration epoch that the request began with.
+    #: Configuration epoch at the start of the request.
     epoch: int
-    #: When the stream has to be over, seconds since 1970.
+    #: Time by which the stream must end, in seconds since 1970.
     deadline_at: float
-    #: Digest of the prompt; another prompt asks for another answer.
+    #: Digest of the prompt, which detects a resumption with a different prompt.
     digest: str = ""
-    #: Whether the request may run more than once; a key makes it one that may not.
+    #: Whether the request may run more than once, which an idempotency key rules out.
     idempotent: bool = False
 
 
 def seal_locator(locator: Locator, *, team: str, secret: bytes) -> str:
-    """Return `locator` in a form that only `team` can use and nobody can change."""
+    """Return `locator` with an HMAC that binds it to `team` and prevents changes."""
     stages = [[stage.target, *stage.layers] for stage in locator.stages]
     items = [
         locator.request,
@@ -68,17 +67,17 @@
         int(locator.idempotent),
     ]
     body = json.dumps(items, separators=(",", ":")).encode()
-    return _encode(_compute_seal(body, team, secret) + body)
+    return _encode(_compute_mac(body, team, secret) + body)
 
 
 def open_locator(sealed: str, *, team: str, secret: bytes) -> Locator | None:
-    """Return the locator, or `None` when it is not one of ours for this team."""
+    """Return the locator, or `None` if it was not sealed here for this team."""
     try:
         raw = base64.urlsafe_b64decode(sealed.encode() + b"=" * (-len(sealed) % 4))
     except ValueError:
         return None
-    seal, body = raw[:SEAL_BYTES], raw[SEAL_BYTES:]
-    if not hmac.compare_digest(seal, _compute_seal(body, team, secret)):
+    mac, body = raw[:MAC_BYTES], raw[MAC_BYTES:]
+    if not hmac.compare_digest(mac, _compute_mac(body, team, secret)):
         return None
     items = json.loads(body)
     request, attempt, stages, pipeline, epoch, deadline_at, digest, idempotent = items
@@ -97,35 +96,35 @@
 
 
 def digest_prompt(prompt: str) -> str:
-    """Return the digest that a locator carries, short since it guards mistakes only."""
-    return hashlib.sha256(prompt.encode()).hexdigest()[:DIGEST_LETTERS]
+    """Return the digest for a locator; short, as it only has to detect mistakes."""
+    return hashlib.sha256(prompt.encode()).hexdigest()[:DIGEST_LENGTH]
 
 
 @dataclass(frozen=True, kw_only=True)
 class EventId:
-    """What an event's id says."""
+    """The parts of an event's id."""
 
     #: The sealed locator.
     sealed: str
-    #: Number of the event; events count from 1.
+    #: Number of the event, starting at 1.
     number: int
-    #: Digest of all texts up to the event, empty where there is none.
+    #: Digest of all texts up to the event, empty if the id has none.
     digest: str
 
 
 def make_event_id(sealed: str, number: int, digest: str = "") -> str:
-    """Return the `id:` of event `number`; events count from 1.
+    """Return the `id:` of event `number`, starting at 1.
 
-    The digest of the texts so far lets another attempt on another target go on at the
-    same place when nobody has those texts any more: their instance and their engine
-    were lost together, with a data centre.
+    With the digest of the texts so far, a new attempt on another target can resume at
+    the same position when the texts are lost, such as when the instance and the engine
+    fail together with their data centre.
     """
-    mark = f"~{digest}" if digest else ""
-    return f"{sealed}{mark}.{number}"
+    digest_part = f"~{digest}" if digest else ""
+    return f"{sealed}{digest_part}.{number}"
 
 
 def split_event_id(event_id: str) -> EventId | None:
-    """Return what an id says, or `None` for a malformed one."""
+    """Return the parts of an event id, or `None` if it is malformed."""
     head, _, number = event_id.rpartition(".")
     sealed, _, digest = head.partition("~")
     is_number = number.isascii() and number.isdigit() and len(number) < 10
@@ -135,32 +134,32 @@
 
 
 class TextDigest:
-    """The digest of an answer's texts, kept up to date text by text.
+    """Incremental digest of an answer's texts.
 
-    32 bits: it guards against engines that differ, not against callers, who could
-    only spoil their own answer with a false one.
+    32 bits suffice: it detects engines whose answers differ. Callers who forge a digest
+    can only corrupt their own answer.
     """
 
     def __init__(self) -> None:
         self._state = xxhash.xxh32()
 
     def add(self, text: str) -> str:
-        """Take in the next text; return the digest of all texts up to it."""
+        """Add the next text and return the digest of all texts up to it."""
         self._state.update(f"{len(text)}:{text}".encode())
         return self._state.hexdigest()
 
 
 def digest_texts(texts: Iterable[str]) -> str:
-    """Return the digest of `texts`, empty for none."""
+    """Return the digest of `texts`, empty if there are none."""
     digest, state = "", TextDigest()
     for text in texts:
         digest = state.add(text)
     return digest
 
 
-def _compute_seal(body: bytes, team: str, secret: bytes) -> bytes:
+def _compute_mac(body: bytes, team: str, secret: bytes) -> bytes:
     message = team.encode() + b"\0" + body
-    return hmac.new(secret, message, hashlib.sha256).digest()[:SEAL_BYTES]
+    return hmac.new(secret, message, hashlib.sha256).digest()[:MAC_BYTES]
 
 
 def _encode(raw: bytes) -> str:
--- a/packages/core/fulmarward_core/streams/tests/test_locators.py
+++ b/packages/core/fulmarward_core/streams/tests/test_locators.py
@@ -28,7 +28,7 @@
 
 
 class LocatorTest(unittest.TestCase):
-    def test_sealed_locator_opens_for_its_team_alone(self):
+    def test_sealed_locator_opens_only_for_its_team(self):
         sealed = seal_locator(_LOCATOR, team="folha", secret=_SECRET)
         opened = open_locator(sealed, team="folha", secret=_SECRET)
         self.assertEqual(opened, _LOCATOR)
@@ -36,13 +36,13 @@
         self.assertIsNone(open_locator(sealed, team="folha", secret=b"other"))
 
     @given(st.integers(min_value=0), st.characters(codec="ascii"))
-    def test_changed_locator_does_not_open(self, place, letter):
+    def test_changed_locator_does_not_open(self, position, character):
         sealed = seal_locator(_LOCATOR, team="folha", secret=_SECRET)
-        place %= len(sealed)
-        changed = sealed[:place] + letter + sealed[place + 1 :]
+        position %= len(sealed)
+        changed = sealed[:position] + character + sealed[position + 1 :]
         opened = open_locator(changed, team="folha", secret=_SECRET)
-        # The last letter of base64 has unused bits, so another letter may stand
-        # for the same bytes: what opens is the locator itself or nothing.
+        # The last base64 character has unused bits, so a different character may decode
+        # to the same bytes: the result is the same locator or nothing.
         self.assertIn(opened, (None, _LOCATOR))
 
     @given(st.text())
@@ -67,9 +67,9 @@
                 self.assertEqual(found, expected)
 
     @given(st.lists(st.text()), st.lists(st.text()))
-    def test_digests_are_equal_for_equal_texts_alone(self, first, second):
+    def test_digests_are_equal_only_for_equal_texts(self, first, second):
         state = TextDigest()
-        kept = [state.add(text) for text in first]
-        self.assertEqual(kept[-1:], [digest_texts(first)][: len(kept)])
+        digests = [state.add(text) for text in first]
+        self.assertEqual(digests[-1:], [digest_texts(first)][: len(digests)])
         is_equal = digest_texts(first) == digest_texts(second)
         self.assertEqual(is_equal, first == second)
