--- a/packages/router/fulmarward_router/mesh/_state.py
+++ b/packages/router/fulmarward_router/mesh/_state.py
@@ -1,4 +1,4 @@
-"""What the mesh needs from the rest of the instance."""
+"""The interface between the mesh and the rest of the instance."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -23,81 +23,81 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Revisions:
-    """Up to which changes of members, loads and targets a subscriber was told."""
+    """The revisions of members, loads and targets that a subscriber has."""
 
     members: int = -1
     loads: int = -1
     targets: int = -1
 
 
-#: What a peer is asked for, what it sends for it, and what else it may answer.
+#: Requests to a peer, the data that it returns, and all answers that it may give.
 Fetch = FetchConfiguration | FetchCompressedConfiguration | FetchTargets
 Snapshot = ConfigurationSnapshot | CompressedConfiguration | TargetChanges
 Answer = Snapshot | ConfigurationDeferred
 
 
 class MeshState(Protocol):
-    """What the rest of the instance gives to the mesh and takes from it."""
+    """Builds the messages that the mesh sends and merges those that it receives."""
 
     def make_heartbeat(self, *, has_loads: bool = True) -> Heartbeat:
-        """Return this instance's heartbeat, with its loads or without."""
+        """Return this instance's heartbeat, with or without its loads."""
 
     def has_loads(self) -> bool:
-        """Return whether requests run here."""
+        """Return whether this instance has requests in flight."""
 
     def get_loads_revision(self) -> int:
-        """Return the number of the last change of the own loads."""
+        """Return the revision of the last change of this instance's loads."""
 
     def make_fleet_loads(self, after: int) -> tuple[FleetLoads | None, int]:
-        """Return the loads that changed after a revision, `None` if none did, and the
-        revision now.
+        """Return the loads changed after a revision, `None` if there are none, and the
+        current revision.
         """
 
     def merge_fleet_loads(self, report: FleetLoads) -> bool:
-        """Take in a hub's loads; return whether that was possible without all others
-        first.
+        """Merge the changed loads of a hub; return whether that was possible without a
+        full report first.
         """
 
     def make_load_update(self) -> LoadUpdate:
-        """Return this instance's loads, for the hubs that it follows."""
+        """Return this instance's loads, for the hubs that it subscribes to."""
 
     def merge_load_update(self, update: LoadUpdate) -> None:
-        """Take in the loads of a subscriber."""
+        """Merge the loads of a subscriber."""
 
-    def make_fleet_report(self, told: Revisions) -> tuple[FleetReport, Revisions]:
-        """Return what changed of the fleet since a subscriber was told, and up to where
-        it is told by that.
+    def make_fleet_report(self, reported: Revisions) -> tuple[FleetReport, Revisions]:
+        """Return the changes of the fleet since the revisions that a subscriber has,
+        and the revisions that it has after this report.
         """
 
     def make_target_changes(self, after: int) -> TargetChanges | None:
-        """Return the changes of targets since a version, `None` if there are none."""
+        """Return the changes of targets after a version, `None` if none are known."""
 
     def merge_fleet_report(self, report: FleetReport) -> bool:
-        """Take in a hub's report; return whether a full one is needed first."""
+        """Merge a hub's report; return whether that worked without a full report."""
 
     def merge_heartbeat(self, heartbeat: Heartbeat) -> list[Fetch]:
-        """Take in a peer's heartbeat; return what to ask that peer for."""
+        """Merge a peer's heartbeat; return the fetches to send to the peer."""
 
     def answer(self, fetch: Fetch) -> Answer | None:
         """Return the answer to a peer's fetch, `None` if there is none."""
 
     def merge_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in what a peer answered."""
+        """Merge the answer of a peer to a fetch."""
 
     def note_supports_compression(self, message: SupportsCompression) -> None:
-        """Take in that a peer may be asked for the packed configuration."""
+        """Record that a peer answers fetches of the compressed configuration."""
 
     def note_deferred(self, message: ConfigurationDeferred) -> None:
-        """Take in that a peer sends to others first."""
+        """Record that a peer cannot answer yet, as it is sending to other peers."""
 
     def note_received(self, message: ConfigurationReceived) -> None:
-        """Take in that a snapshot was received by a peer."""
+        """Record that a peer has received the configuration sent to it."""
 
     def note_link_lost(self, peer: str) -> None:
-        """The link that a peer dialled has ended, and what was fetched on it."""
+        """End the transfer to a peer, and a fetch from it: its link has closed."""
 
     def make_data_centre_report(self, data_centre: str) -> DataCentreReport:
-        """Return what this instance, as a hub, reports on a data centre."""
+        """Return this instance's report, as a hub, on a data centre."""
 
     def merge_data_centre(self, report: DataCentreReport) -> None:
-        """Take in the loads that a hub reports."""
+        """Merge the loads in a hub's report on its data centre."""
--- a/packages/router/fulmarward_router/state/__init__.py
+++ b/packages/router/fulmarward_router/state/__init__.py
@@ -1,4 +1,4 @@
-"""What an instance believes: configuration, targets, peers' news, the store."""
+"""The state of an instance: configuration, targets, peers' reports, the store."""
 
 from fulmarward_router.state._configuration import ConfigurationHolder
 from fulmarward_router.state._instances import InstanceRows
--- a/packages/router/fulmarward_router/state/_configuration.py
+++ b/packages/router/fulmarward_router/state/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force; it goes forward only, and as a whole."""
+"""The configuration in force. It is replaced as a whole, by newer versions only."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,47 +9,49 @@
 
 
 class ConfigurationHolder:
-    """The newest configuration that this instance has understood."""
+    """Holds the newest configuration that this instance could decode."""
 
     def __init__(self, *, decode: Callable[[Row], RoutingConfiguration | None]) -> None:
         self._decode = decode
         self._row: Row | None = None
         #: The configuration in force, `None` before the first.
         self.current: RoutingConfiguration | None = None
-        #: When the store last confirmed it, here or by a peer; steady seconds.
+        #: When the store last confirmed it, to this instance or to a peer; seconds on
+        #: the monotonic clock.
         self.confirmed_at = float("-inf")
-        #: Newest version that a peer has in force.
+        #: Newest version that any peer has reported to be in force.
         self._reported_version = 0
-        #: Set when the first configuration is in force.
+        #: Set once a configuration is in force.
         self.known = asyncio.Event()
 
     @property
     def version(self) -> int:
-        """Version in force; 0 before the first."""
+        """The version in force, 0 before the first."""
         return 0 if self.current is None else self.current.version
 
     @property
     def is_outdated(self) -> bool:
-        """Whether a peer has a newer version in force."""
+        """Whether a peer has reported a newer version."""
         return self._reported_version > self.version
 
     def record_reported(self, version: int) -> None:
-        """Record the version that a peer has in force."""
+        """Record the version that a peer reports to be in force."""
         self._reported_version = max(self._reported_version, version)
 
     def record_confirmation(self, *, at: float) -> None:
-        """Record that the store had nothing newer at a time on the steady clock."""
+        """Record that the store had nothing newer at `at` on the monotonic clock."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     @property
     def row(self) -> Row | None:
-        """The row that is in force, for peers."""
+        """The row of the configuration in force, as it is sent to peers."""
         return self._row
 
     def take_row(self, row: Row, *, source: str, now: float) -> bool:
-        """Put the configuration in `row` in force if it is newer; return whether.
+        """Adopt the configuration in `row` if it is newer; return whether it was.
 
-        One that cannot be understood changes nothing: the old one serves on.
+        A row that cannot be decoded is refused, and the current configuration stays in
+        force.
         """
         if self._row is not None and row.version <= self._row.version:
             return False
@@ -65,12 +67,12 @@
             return False
         if configuration is None or configuration.version <= self.version:
             return False
-        before, self.current = self.version, configuration
+        previous, self.current = self.version, configuration
         self._row = row
         log_event(
             "configuration_adopted",
             version=configuration.version,
-            before=before,
+            before=previous,
             store_version=row.version,
             source=source,
             size=len(row.value or b""),
--- a/packages/router/fulmarward_router/state/_configuration_exchange.py
+++ b/packages/router/fulmarward_router/state/_configuration_exchange.py
@@ -1,4 +1,4 @@
-"""The configuration between instances: fetched from peers, and sent to them."""
+"""Fetches the configuration from peers and sends it to them."""
 
 from collections.abc import Callable
 
@@ -30,7 +30,7 @@
 
 
 class ConfigurationExchange:
-    """Fetches newer versions from one peer at a time, and answers peers' fetches."""
+    """Fetches newer versions from one peer at a time and answers peers' fetches."""
 
     def __init__(
         self,
@@ -45,23 +45,24 @@
         self._configuration = configuration
         self._read_clock = read_clock
         self._note_change = note_change
-        self._fetch = PendingFetch()
+        self._pending_fetch = PendingFetch()
         self._transfers = TransferLimiter(
             max_bytes=find_max_in_flight(link_bytes_per_s)
         )
-        #: Start time (ms since 1970) of each peer that accepts compressed ones.
+        #: Start time, in ms since 1970, of each peer that answers
+        #: `FetchCompressedConfiguration`.
         self._supports_compression: dict[str, int] = {}
-        #: Plain rows sent to peers that have not said who they are.
+        #: Number of uncompressed rows sent; such a fetch does not name its sender.
         self._plain_transfers = 0
-        #: The row in force as it travels, once a peer has asked for it.
-        self._packed: tuple[Row, bytes | None] | None = None
+        #: The row that was last sent to peers, and its compressed value.
+        self._compressed: tuple[Row, bytes | None] | None = None
 
     def merge_heartbeat(self, heartbeat: Heartbeat) -> Fetch | None:
-        """Take in the version in force at a peer; return what to ask it for."""
+        """Record the version that a peer has in force; return the fetch to send it."""
         own, now = self._configuration.version, self._read_clock()
         self._configuration.record_reported(heartbeat.configuration_version)
         if heartbeat.configuration_version > own:
-            if self._must_fetch(heartbeat, now):
+            if self._begin_fetch(heartbeat, now):
                 return self._make_fetch(heartbeat.sender, own)
         elif (
             heartbeat.configuration_version == own
@@ -71,13 +72,14 @@
             self._configuration.record_confirmation(at=at)
         return None
 
-    def _must_fetch(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Return whether to fetch the newer version that the sender reports."""
+    def _begin_fetch(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Return whether a fetch of the sender's newer version was started."""
         peer, own = heartbeat.sender.name, self._configuration.version
         _log_fetch_timeout(
-            self._fetch.give_up(known=own, now=now), cause="no newer version came"
+            self._pending_fetch.give_up(known=own, now=now),
+            cause="no newer version received",
         )
-        if not self._fetch.ask(peer, known=own, now=now):
+        if not self._pending_fetch.ask(peer, known=own, now=now):
             return False
         log_event(
             "configuration_requested",
@@ -88,32 +90,35 @@
         return True
 
     def _make_fetch(self, peer: InstanceIdentity, version: int) -> Fetch:
-        """Return the fetch of the configuration that a peer understands."""
+        """Return the kind of fetch that the peer supports."""
         if self._supports_compression.get(peer.name) == peer.boot:
             return FetchCompressedConfiguration(sender=self._name, version=version)
         return FetchConfiguration(version=version)
 
     def note_supports_compression(self, message: SupportsCompression) -> None:
-        """Take in that a peer may be asked for the packed configuration."""
+        """Record that a peer answers fetches of the compressed configuration."""
         self._supports_compression[message.sender] = message.boot
 
-    def send_compressed(self, fetch: FetchCompressedConfiguration) -> Answer | None:
-        """Return the answer to a fetch, `None` if there is nothing newer."""
+    def answer_compressed(self, fetch: FetchCompressedConfiguration) -> Answer | None:
+        """Return the answer to a fetch, `None` if there is no newer version."""
         row = self._find_newer(fetch.version)
         if row is None:
             return None
-        packed = self._pack(row)
-        size = len(packed or b"")
+        compressed = self._compress(row)
+        size = len(compressed or b"")
         if not self._transfers.begin(fetch.sender, size, now=self._read_clock()):
             return ConfigurationDeferred(sender=self._name)
-        self._log_transfer(row, fetch.sender, known=fetch.version, packed=size)
-        return CompressedConfiguration(key=row.key, version=row.version, packed=packed)
+        self._log_transfer(row, fetch.sender, known=fetch.version, sent_bytes=size)
+        return CompressedConfiguration(
+            key=row.key, version=row.version, packed=compressed
+        )
 
-    def send_plain(self, fetch: FetchConfiguration) -> Answer | None:
-        """Return the row as code reads it that understands no packed one.
+    def answer_plain(self, fetch: FetchConfiguration) -> Answer | None:
+        """Return the uncompressed row, for peers of a release without compression.
 
-        Such a peer says neither who it is nor that the row has come, and asks again
-        when it has no answer. Guards against a link that is full with such rows.
+        Such a peer neither names itself nor acknowledges the row, and repeats the fetch
+        if there is no answer. The transfer limit keeps these rows from saturating the
+        link.
         """
         row = self._find_newer(fetch.version)
         if row is None:
@@ -123,58 +128,60 @@
         peer = f"unpacked {self._plain_transfers}"
         if not self._transfers.begin(peer, size, now=self._read_clock()):
             return None
-        self._log_transfer(row, "", known=fetch.version, packed=size)
+        self._log_transfer(row, "", known=fetch.version, sent_bytes=size)
         return ConfigurationSnapshot(
             row=RowSnapshot(key=row.key, version=row.version, value=row.value)
         )
 
     def _find_newer(self, version: int) -> Row | None:
-        """Return the row in force if it is newer than a version."""
+        """Return the row in force if it is newer than `version`."""
         return (
             self._configuration.row if self._configuration.version > version else None
         )
 
-    def _log_transfer(self, row: Row, peer: str, *, known: int, packed: int) -> None:
+    def _log_transfer(
+        self, row: Row, peer: str, *, known: int, sent_bytes: int
+    ) -> None:
         log_event(
             "configuration_sent",
             peer=peer,
             version=self._configuration.version,
             known=known,
             size=len(row.value or b""),
-            packed=packed,
+            packed=sent_bytes,
         )
 
-    def _pack(self, row: Row) -> bytes | None:
-        """Return the bytes of the row in force as they travel, packed once."""
-        if self._packed is None or self._packed[0] is not row:
-            packed = None if row.value is None else pack_value(row.value)
-            self._packed = (row, packed)
-        return self._packed[1]
+    def _compress(self, row: Row) -> bytes | None:
+        """Return the compressed value of the row in force; it is compressed once."""
+        if self._compressed is None or self._compressed[0] is not row:
+            compressed = None if row.value is None else pack_value(row.value)
+            self._compressed = (row, compressed)
+        return self._compressed[1]
 
     def note_deferred(self, message: ConfigurationDeferred) -> None:
-        """Take in that a peer sends to others first."""
-        self._fetch.note_deferred(message.sender, now=self._read_clock())
+        """Record that a peer cannot answer yet, as it is sending to other peers."""
+        self._pending_fetch.note_deferred(message.sender, now=self._read_clock())
         log_event("configuration_deferred", peer=message.sender)
 
     def note_received(self, message: ConfigurationReceived) -> None:
-        """Take in that a snapshot was received by a peer."""
+        """Record that a peer has received the configuration sent to it."""
         self._transfers.end(message.sender)
 
     def note_link_lost(self, peer: str) -> None:
-        """The link that a peer dialled has ended, and what was asked on it."""
+        """End the transfer to a peer, and a fetch from it: its link has closed."""
         self._transfers.end(peer)
-        given_up = self._fetch.note_lost(
+        timed_out = self._pending_fetch.note_lost(
             peer, known=self._configuration.version, now=self._read_clock()
         )
-        _log_fetch_timeout(given_up, cause="its link ended")
+        _log_fetch_timeout(timed_out, cause="link closed")
 
     def merge_plain(self, snapshot: ConfigurationSnapshot) -> None:
-        """Put what a peer sent in force."""
+        """Adopt the configuration that a peer sent."""
         row = snapshot.row
         self._merge(Row(key=row.key, value=row.value, version=row.version))
 
     def merge_compressed(self, snapshot: CompressedConfiguration) -> None:
-        """Put what a peer sent in force; wrong bytes change nothing."""
+        """Adopt the configuration that a peer sent; damaged bytes are refused."""
         try:
             value = None if snapshot.packed is None else unpack_value(snapshot.packed)
         except ValueError as error:
@@ -192,11 +199,11 @@
             self._note_change()
 
 
-def _log_fetch_timeout(given_up: FetchTimeout | None, *, cause: str) -> None:
-    if given_up is not None:
+def _log_fetch_timeout(fetch: FetchTimeout | None, *, cause: str) -> None:
+    if fetch is not None:
         log_event(
             "configuration_fetch_timed_out",
-            peer=given_up.peer,
-            after_s=round(given_up.after_s, 3),
+            peer=fetch.peer,
+            after_s=round(fetch.after_s, 3),
             cause=cause,
         )
--- a/packages/router/fulmarward_router/state/_instances.py
+++ b/packages/router/fulmarward_router/state/_instances.py
@@ -1,4 +1,4 @@
-"""The row of this instance in the store, and those of the others."""
+"""Registers this instance in the store and reads the rows of the others."""
 
 import asyncio
 import random
@@ -10,22 +10,22 @@
 from fulmarward_router.mesh import InstanceIdentity, MemberTable
 from fulmarward_router.ports import ReplyLost, RowWrite, Store, StoreRefused
 
-#: The table with a row for each instance.
+#: The store's table with a row for each instance.
 INSTANCE_TABLE = "instances"
 
-#: Seconds between two readings of the other instances' rows: new instances dial the
-#: others themselves, so this is for what both missed.
+#: Seconds between two reads of the other instances' rows. New instances dial the others
+#: themselves, so a read only finds those that were missed on both sides.
 READ_INTERVAL_S = 12.0
 
-#: Seconds before the store is tried again.
+#: Seconds before a failed call to the store is retried.
 RETRY_INTERVAL_S = 1.0
 
-#: Share by which pauses differ between instances, which all begin in the same moment.
+#: Fraction by which pauses vary, as all instances may start at the same moment.
 _JITTER = 0.2
 
 
 class InstanceRows:
-    """Writes this instance's row, and learns of the others by theirs."""
+    """Writes this instance's row and discovers the others by theirs."""
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         self._read_clock = read_clock
 
     async def follow(self) -> None:
-        """Write the row once, and read the others' now and then, until cancelled."""
+        """Write the row once and read the others' periodically, until cancelled."""
         value = _encode_instance(self._own)
         write = RowWrite(table=INSTANCE_TABLE, key=self._own.name, value=value)
         is_written = False
         while True:
             if is_written and self._members.follows_hubs(now=self._read_clock()):
-                # Its hubs read them.
-                await _sleep_about(RETRY_INTERVAL_S)
+                # The hubs read the rows and report the instances.
+                await _sleep_with_jitter(RETRY_INTERVAL_S)
                 continue
             try:
                 if not is_written:
@@ -56,16 +56,16 @@
                     is_written = True
                 read = await self._store.read_table(INSTANCE_TABLE)
             except (StoreRefused, ReplyLost) as error:
-                log_event("instances_not_read", cause=repr(error))
-                await _sleep_about(RETRY_INTERVAL_S)
+                log_event("instances_read_failed", cause=repr(error))
+                await _sleep_with_jitter(RETRY_INTERVAL_S)
                 continue
             identities = [_decode_instance(row.value) for row in read.rows]
             now = self._read_clock()
             self._members.merge_members([item for item in identities if item], now=now)
-            await _sleep_about(READ_INTERVAL_S)
+            await _sleep_with_jitter(READ_INTERVAL_S)
 
     async def withdraw(self) -> None:
-        """Take this instance's row out of the store, as far as the store answers."""
+        """Delete this instance's row; a failure of the store is only logged."""
         write = RowWrite(table=INSTANCE_TABLE, key=self._own.name, value=None)
         try:
             await self._store.transact([], [write])
@@ -73,7 +73,7 @@
             log_event("withdrawal_failed", cause=repr(error))
 
 
-async def _sleep_about(seconds: float) -> None:
+async def _sleep_with_jitter(seconds: float) -> None:
     await asyncio.sleep(seconds * random.uniform(1 - _JITTER, 1 + _JITTER))
 
 
@@ -89,11 +89,11 @@
 
 
 def _decode_instance(value: bytes | None) -> InstanceIdentity | None:
-    """Return the instance in a row, `None` if it cannot be read."""
+    """Return the instance in a row, `None` if it cannot be decoded."""
     try:
         name, boot, data_centre, peer_address, caller_address = cbor2.loads(value)
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
-        log_event("instance_row_wrong", cause=repr(error))
+        log_event("instance_row_invalid", cause=repr(error))
         return None
     return InstanceIdentity(
         name=name,
--- a/packages/router/fulmarward_router/state/_knowledge.py
+++ b/packages/router/fulmarward_router/state/_knowledge.py
@@ -1,4 +1,4 @@
-"""What an instance reports to its peers, and what it takes in of their reports."""
+"""Builds the reports of an instance to its peers and merges theirs."""
 
 import bisect
 from collections.abc import Callable, Iterable, Mapping
@@ -42,18 +42,18 @@
 from fulmarward_router.state._configuration import ConfigurationHolder
 from fulmarward_router.state._configuration_exchange import ConfigurationExchange
 
-#: Seconds between two fetches of targets' changes.
+#: Minimum seconds between two fetches of the same changes of targets.
 FETCH_INTERVAL_S = 0.2
 
-#: Seconds after its start for which an instance may not have heard others that live.
+#: Seconds after its start in which an instance may not have heard all live ones yet.
 START_DURATION_S = 2.0
 
-#: Age in ms that says "never".
+#: The age in ms that stands for "never".
 _NEVER_MS = -1
 
 
 class Knowledge:
-    """Implements `mesh.MeshState` on what this instance believes."""
+    """Implements `mesh.MeshState` on the tables of this instance."""
 
     def __init__(
         self,
@@ -90,12 +90,12 @@
         self._is_store_reachable = is_store_reachable
         self._note_change = note_change
         self._note_targets = note_targets
-        self._began_at = read_clock()
-        #: When changes of targets were last fetched, and after which version.
-        self._fetched_at = float("-inf")
-        self._fetched_after: int | None = None
-        #: Newest version of the targets that a peer stated.
-        self._stated_version = 0
+        self._started_at = read_clock()
+        #: When changes of targets were last requested, and after which version.
+        self._targets_fetched_at = float("-inf")
+        self._targets_fetched_after: int | None = None
+        #: Newest version of the targets that any peer has reported.
+        self._max_reported_version = 0
         self._exchange = ConfigurationExchange(
             name=own.name,
             configuration=configuration,
@@ -103,13 +103,13 @@
             read_clock=read_clock,
             note_change=note_change,
         )
-        #: The newest load update that each instance sent.
+        #: Sequence number of the newest load update of each instance.
         self._updates: dict[str, int] = {}
 
     def make_heartbeat(self, *, has_loads: bool = True) -> Heartbeat:
-        """Return this instance's heartbeat, with its load or without."""
+        """Return this instance's heartbeat, with or without its loads."""
         now = self._read_clock()
-        loads = _report_loads(self._ledger.list_own() if has_loads else {})
+        loads = _make_load_reports(self._ledger.list_own() if has_loads else {})
         losses = tuple(
             FailureReport(target=item.target, for_ms=int((item.until - now) * 1000))
             for item in self._suspicions.list_direct_failures(now=now)
@@ -119,29 +119,29 @@
             is_ready=self._is_ready(),
             is_leaving=self._is_leaving(),
             configuration_version=self._configuration.version,
-            configuration_age_ms=_count_ms(self._configuration.confirmed_at, now),
+            configuration_age_ms=_compute_age_ms(self._configuration.confirmed_at, now),
             targets_version=self._catalogue.stated_version,
-            targets_age_ms=_count_ms(self._catalogue.confirmed_at, now),
+            targets_age_ms=_compute_age_ms(self._catalogue.confirmed_at, now),
             is_store_reachable=self._is_store_reachable(),
             loads=loads,
             losses=losses,
             refusing=tuple(self._suspicions.refusals.list_own(now=now)),
             sees_slow_streams=self._sees_slow_streams(),
-            paces=self._report_paces(now),
+            paces=self._make_pace_reports(now),
         )
 
-    def _report_paces(self, now: float) -> tuple[PaceReport, ...]:
+    def _make_pace_reports(self, now: float) -> tuple[PaceReport, ...]:
         return tuple(
             PaceReport(
                 target=name,
                 percent=int(pace.factor * 100),
-                age_ms=max(0, _count_ms(pace.at, now)),
+                age_ms=max(0, _compute_age_ms(pace.at, now)),
             )
             for name, pace in self._paces.list_slow(now=now).items()
         )
 
-    def _merge_paces(self, paces: Iterable[PaceReport], now: float) -> None:
-        for report in paces:
+    def _merge_paces(self, reports: Iterable[PaceReport], now: float) -> None:
+        for report in reports:
             at = now - report.age_ms / 1000
             if self._paces.note(report.target, report.percent / 100, at=at):
                 log_event(
@@ -152,17 +152,17 @@
                 )
 
     def is_among_first(self, count: int) -> bool:
-        """Return whether this instance is one of those that act for all.
+        """Return whether this instance is one of the `count` that act for the fleet.
 
-        They are the first by name of those that were heard lately, are not leaving
-        and reach the store. Guards against one that the store turns away: it would
-        hold a duty that it cannot do. One that has just started presumes that others
-        live which it has not heard yet, so that not all begin with the same duties.
+        These are the first by name of the fresh instances that are not leaving and
+        reach the store. An instance that the store refuses is left out, as it could not
+        perform the duty. For a while after its start, an instance also counts those it
+        has not heard yet as alive, so that not all of them start with the same duties.
         """
         if self._is_leaving() or not self._is_store_reachable():
             return False
         now = self._read_clock()
-        is_starting = now - self._began_at < START_DURATION_S
+        is_starting = now - self._started_at < START_DURATION_S
         others = (
             self._members.list_presumed(now=now)
             if is_starting
@@ -172,10 +172,10 @@
         return before < count
 
     def is_store_out(self) -> bool:
-        """Return whether no instance reaches the store, as far as known here.
+        """Return whether no instance is known to reach the store.
 
-        Over half of the instances must be heard. Guards against one that is cut off
-        from everybody: it would take its own trouble for the store's.
+        More than half of the instances must be fresh: an instance that is partitioned
+        from the others would otherwise mistake its own outage for the store's.
         """
         if self._is_store_reachable():
             return False
@@ -185,10 +185,10 @@
         return not any(member.state.is_store_reachable for member in fresh)
 
     def merge_heartbeat(self, heartbeat: Heartbeat) -> list[Fetch]:
-        """Take in a peer's heartbeat; return what to ask it for."""
+        """Merge a peer's heartbeat; return the fetches to send to the peer."""
         now = self._read_clock()
         if heartbeat.loads or heartbeat.sender.name not in self._updates:
-            loads = _read_loads(heartbeat.loads)
+            loads = _index_loads(heartbeat.loads)
             self._ledger.merge_report(heartbeat.sender.name, loads, now=now)
         self._merge_losses(heartbeat.losses, heartbeat.sender.name, now)
         self._suspicions.refusals.merge_reports(heartbeat.refusing, now=now)
@@ -203,44 +203,47 @@
         return fetches
 
     def _must_fetch_targets(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Return whether to ask the sender for changes of targets.
+        """Return whether to fetch changes of targets from the sender.
 
-        Who states a newer version than the own one is asked. One that has just started
-        may be unable to tell what led to it: then any peer is asked.
+        A sender that reports a newer version is asked. One that has just started may
+        not know the changes before its version and cannot answer; then any peer is
+        asked.
         """
         own = self._catalogue.version
-        self._stated_version = max(self._stated_version, heartbeat.targets_version)
-        if self._stated_version <= own:
+        self._max_reported_version = max(
+            self._max_reported_version, heartbeat.targets_version
+        )
+        if self._max_reported_version <= own:
             return False
-        # Asked before, and not answered yet or in vain.
-        is_pending = self._fetched_after == own
-        if is_pending and now - self._fetched_at < FETCH_INTERVAL_S:
+        # A fetch after this version was sent before and has had no answer yet.
+        is_pending = self._targets_fetched_after == own
+        if is_pending and now - self._targets_fetched_at < FETCH_INTERVAL_S:
             return False
         if heartbeat.targets_version <= own and not is_pending:
             return False
-        self._fetched_at, self._fetched_after = now, own
+        self._targets_fetched_at, self._targets_fetched_after = now, own
         return True
 
     def note_supports_compression(self, message: SupportsCompression) -> None:
-        """Take in that a peer may be asked for the packed configuration."""
+        """Record that a peer answers fetches of the compressed configuration."""
         self._exchange.note_supports_compression(message)
 
     def make_data_centre_report(self, data_centre: str) -> DataCentreReport:
-        """Return what this instance, as a hub, tells of a data centre."""
+        """Return this instance's report, as a hub, on a data centre."""
         now = self._read_clock()
         instances = self._members.report_members(data_centre, now=now)
         loads = self._ledger.find_centre_load(data_centre)
         if data_centre == self._own.data_centre:
-            instances = (*instances, self._report_own())
+            instances = (*instances, self._make_own_report())
             loads = self._ledger.sum_nearby(now=now)
         return DataCentreReport(
             data_centre=data_centre,
             instances=instances,
-            loads=_report_loads(loads),
-            paces=self._report_paces(now),
+            loads=_make_load_reports(loads),
+            paces=self._make_pace_reports(now),
         )
 
-    def _report_own(self) -> InstanceReport:
+    def _make_own_report(self) -> InstanceReport:
         return InstanceReport(
             name=self._own.name,
             boot=self._own.boot,
@@ -251,26 +254,26 @@
             is_store_reachable=self._is_store_reachable(),
         )
 
-    def merge_data_centre(self, news: DataCentreReport) -> None:
-        """Take in the loads that a hub tells of."""
-        if news.data_centre == self._own.data_centre:
+    def merge_data_centre(self, report: DataCentreReport) -> None:
+        """Merge the loads in a hub's report on its data centre."""
+        if report.data_centre == self._own.data_centre:
             return
         now = self._read_clock()
-        loads = _read_loads(news.loads)
-        self._ledger.merge_centre(news.data_centre, loads, now=now)
-        self._merge_paces(news.paces, now)
+        loads = _index_loads(report.loads)
+        self._ledger.merge_centre(report.data_centre, loads, now=now)
+        self._merge_paces(report.paces, now)
 
     def has_loads(self) -> bool:
-        """Return whether requests run here."""
+        """Return whether this instance has requests in flight."""
         return self._ledger.has_own()
 
     def get_loads_revision(self) -> int:
-        """Return the number of the last change of the own loads."""
+        """Return the revision of the last change of this instance's loads."""
         return self._ledger.own_revision
 
     def make_fleet_loads(self, after: int) -> tuple[FleetLoads | None, int]:
-        """Return the loads that changed after a revision, `None` if none did, and the
-        revision now.
+        """Return the loads changed after a revision, `None` if there are none, and the
+        current revision.
         """
         revision = self._ledger.revision
         changes = self._ledger.list_changes(after=after, now=self._read_clock())
@@ -278,14 +281,14 @@
             return None, revision
         report = FleetLoads(
             sender=self._own.name,
-            loads=_report_loads(changes),
+            loads=_make_load_reports(changes),
             included=self._list_included(),
         )
         return report, self._ledger.revision
 
     def merge_fleet_loads(self, report: FleetLoads) -> bool:
-        """Take in a hub's loads; return whether that was possible without all others
-        first.
+        """Merge the changed loads of a hub; return whether that was possible without a
+        full report first.
         """
         return self._merge_loads(
             report.sender, report.loads, report.included, is_full=False
@@ -303,7 +306,7 @@
         report = HubLoads(
             hub=hub,
             is_full=is_full,
-            loads=_read_loads(loads),
+            loads=_index_loads(loads),
             included=own[0].sequence if own else None,
         )
         return self._ledger.merge_fleet(report, now=self._read_clock())
@@ -316,37 +319,38 @@
         )
 
     def make_load_update(self) -> LoadUpdate:
-        """Return this instance's loads, for the hubs that it follows."""
+        """Return this instance's loads, for the hubs that it subscribes to."""
         snapshot = self._ledger.take_snapshot(self._own.boot)
         return LoadUpdate(
             sender=self._own.name,
             sequence=snapshot.sequence,
-            loads=_report_loads(snapshot.loads),
+            loads=_make_load_reports(snapshot.loads),
         )
 
     def merge_load_update(self, update: LoadUpdate) -> None:
-        """Take in the loads of a subscriber."""
+        """Merge the loads of a subscriber."""
         self._updates[update.sender] = update.sequence
-        loads = _read_loads(update.loads)
+        loads = _index_loads(update.loads)
         self._ledger.merge_report(update.sender, loads, now=self._read_clock())
 
-    def make_fleet_report(self, told: Revisions) -> tuple[FleetReport, Revisions]:
-        """Return what changed of the fleet since a subscriber was told, and up to where
-        it is told by that.
+    def make_fleet_report(self, reported: Revisions) -> tuple[FleetReport, Revisions]:
+        """Return the changes of the fleet since the revisions that a subscriber has,
+        and the revisions that it has after this report.
         """
         now = self._read_clock()
         heartbeat = self.make_heartbeat(has_loads=False)
-        slow = self._members.sees_slow_streams(now=now)
-        members = self._members.report_changes(after=told.members, now=now)
-        loads = self._ledger.list_changes(after=told.loads, now=now)
+        has_slow_streams = self._members.sees_slow_streams(now=now)
+        members = self._members.report_changes(after=reported.members, now=now)
+        loads = self._ledger.list_changes(after=reported.loads, now=now)
         report = FleetReport(
             heartbeat=replace(
-                heartbeat, sees_slow_streams=heartbeat.sees_slow_streams or slow
+                heartbeat,
+                sees_slow_streams=heartbeat.sees_slow_streams or has_slow_streams,
             ),
-            is_full=told.loads < 0,
+            is_full=reported.loads < 0,
             members=members,
             ages=self._members.report_ages(now=now),
-            loads=_report_loads(loads),
+            loads=_make_load_reports(loads),
             included=self._list_included(),
             losses=tuple(
                 FailureReport(target=item.target, for_ms=int((item.until - now) * 1000))
@@ -354,24 +358,24 @@
             ),
             refusing=tuple(self._suspicions.refusals.list_all(now=now)),
         )
-        now_told = Revisions(
+        now_reported = Revisions(
             members=self._members.revision,
             loads=self._ledger.revision,
             targets=self._catalogue.stated_version,
         )
-        return report, now_told
+        return report, now_reported
 
     def make_target_changes(self, after: int) -> TargetChanges | None:
-        """Return the changes of targets since a version, `None` if there are none."""
+        """Return the changes of targets after a version, `None` if none are known."""
         is_known = self._catalogue.knows_changes(after=after)
         if not is_known or self._catalogue.stated_version <= after:
             return None
-        return self._find_target_changes(after)
+        return self._build_target_changes(after)
 
     def merge_fleet_report(self, report: FleetReport) -> bool:
-        """Take in a hub's report; return whether that was possible without a full one.
+        """Merge a hub's report; return whether that was possible without a full report.
 
-        Its heartbeat and the instances that it lists are not taken in by that.
+        The heartbeat in it and the instances that it lists are merged elsewhere.
         """
         now, hub = self._read_clock(), report.heartbeat.sender.name
         self._merge_losses(report.losses, hub, now)
@@ -392,14 +396,14 @@
     def answer(self, fetch: Fetch) -> Answer | None:
         """Return the answer to a peer's fetch, `None` if there is none."""
         if isinstance(fetch, FetchCompressedConfiguration):
-            return self._exchange.send_compressed(fetch)
+            return self._exchange.answer_compressed(fetch)
         if isinstance(fetch, FetchConfiguration):
-            return self._exchange.send_plain(fetch)
+            return self._exchange.answer_plain(fetch)
         if not self._catalogue.knows_changes(after=fetch.after):
             return None
-        return self._find_target_changes(fetch.after)
+        return self._build_target_changes(fetch.after)
 
-    def _find_target_changes(self, after: int) -> TargetChanges:
+    def _build_target_changes(self, after: int) -> TargetChanges:
         rows = tuple(
             RowSnapshot(key=row.name, version=row.version, value=row.value)
             for row in self._catalogue.list_rows(after=after)
@@ -408,48 +412,48 @@
         return TargetChanges(
             after=after,
             version=self._catalogue.version,
-            age_ms=max(0, _count_ms(self._catalogue.confirmed_at, now)),
+            age_ms=max(0, _compute_age_ms(self._catalogue.confirmed_at, now)),
             rows=rows,
         )
 
     def note_deferred(self, message: ConfigurationDeferred) -> None:
-        """Take in that a peer sends to others first."""
+        """Record that a peer cannot answer yet, as it is sending to other peers."""
         self._exchange.note_deferred(message)
 
     def note_received(self, message: ConfigurationReceived) -> None:
-        """Take in that a snapshot was received by a peer."""
+        """Record that a peer has received the configuration sent to it."""
         self._exchange.note_received(message)
 
     def note_link_lost(self, peer: str) -> None:
-        """The link that a peer dialled has ended, and what was asked on it."""
+        """End the transfer to a peer, and a fetch from it: its link has closed."""
         self._exchange.note_link_lost(peer)
 
-    def merge_snapshot(self, news: Snapshot) -> None:
-        """Take in what a peer answered."""
-        if isinstance(news, CompressedConfiguration):
-            self._exchange.merge_compressed(news)
+    def merge_snapshot(self, snapshot: Snapshot) -> None:
+        """Merge the answer of a peer to a fetch."""
+        if isinstance(snapshot, CompressedConfiguration):
+            self._exchange.merge_compressed(snapshot)
             return
-        if isinstance(news, ConfigurationSnapshot):
-            self._exchange.merge_plain(news)
+        if isinstance(snapshot, ConfigurationSnapshot):
+            self._exchange.merge_plain(snapshot)
             return
         now = self._read_clock()
         rows = [
             self._decode_row(
                 Row(key=item.key, value=item.value, version=item.version), now=now
             )
-            for item in news.rows
+            for item in snapshot.rows
         ]
-        # Rows changed before `after` may be missing here if this instance has since
-        # fallen behind that version; then only the rows themselves are taken.
-        is_whole = news.after <= self._catalogue.version
-        version = news.version if is_whole else 0
-        at = now - news.age_ms / 1000
+        # If this instance is behind `after`, changes before it are missing: the rows
+        # are merged, but not the version.
+        is_contiguous = snapshot.after <= self._catalogue.version
+        version = snapshot.version if is_contiguous else 0
+        at = now - snapshot.age_ms / 1000
         self._note_targets(
             self._catalogue.take_changes(rows, version, now=now, confirmed_at=at)
         )
 
 
-def _report_loads(loads: Mapping[str, Load]) -> tuple[LoadReport, ...]:
+def _make_load_reports(loads: Mapping[str, Load]) -> tuple[LoadReport, ...]:
     return tuple(
         LoadReport(
             target=target,
@@ -461,11 +465,11 @@
     )
 
 
-def _read_loads(reports: Iterable[LoadReport]) -> dict[str, LoadReport]:
-    """Return reports by target; no other object is made of each."""
+def _index_loads(reports: Iterable[LoadReport]) -> dict[str, LoadReport]:
+    """Return reports by target; they are used as loads without a copy."""
     return {report.target: report for report in reports}
 
 
-def _count_ms(at: float, now: float) -> int:
-    """Return how many ms ago `at` was; `_NEVER_MS` when it never was."""
+def _compute_age_ms(at: float, now: float) -> int:
+    """Return the age of `at` in ms, `_NEVER_MS` if it is minus infinity."""
     return _NEVER_MS if at == float("-inf") else int((now - at) * 1000)
--- a/packages/router/fulmarward_router/state/_target_news.py
+++ b/packages/router/fulmarward_router/state/_target_news.py
@@ -1,4 +1,4 @@
-"""What news of targets mean to this instance."""
+"""Handles changes of targets."""
 
 from collections.abc import Callable
 
@@ -8,41 +8,42 @@
 
 
 class TargetNews:
-    """Logs what changed of targets; a target that began anew is trusted again."""
+    """Logs changes of targets and clears the suspicion of a restarted one."""
 
     def __init__(
         self, *, suspicions: SuspicionTable, note_urgent: Callable[[], None]
     ) -> None:
         self._suspicions = suspicions
         self._note_urgent = note_urgent
-        #: When each target that is known started, ms since 1970, and those leaving.
+        #: Start time of each known target, in ms since 1970, and the names of those
+        #: that are leaving.
         self._started_ms: dict[str, int] = {}
         self._leaving: set[str] = set()
 
     def note(self, rows: list[KnownRow]) -> None:
-        """Take in rows that say something new."""
+        """Handle rows that have changed."""
         if any(row.record is None or row.record.is_leaving for row in rows):
-            # Peers must not send work there either.
+            # Peers must stop sending requests there too.
             self._note_urgent()
         for row in rows:
             if row.record is None:
-                self._note_gone(row)
+                self._handle_removal(row)
             else:
-                self._note_there(row)
+                self._handle_record(row)
 
-    def _note_gone(self, row: KnownRow) -> None:
+    def _handle_removal(self, row: KnownRow) -> None:
         self._leaving.discard(row.name)
         if self._started_ms.pop(row.name, None) is not None:
-            log_event("target_gone", target=row.name, store_version=row.version)
+            log_event("target_removed", target=row.name, store_version=row.version)
 
-    def _note_there(self, row: KnownRow) -> None:
+    def _handle_record(self, row: KnownRow) -> None:
         record = row.record
         known = self._started_ms.get(row.name)
         self._started_ms[row.name] = record.started_ms
         if known is None or known != record.started_ms:
             self._suspicions.record_restart(row.name)
             log_event(
-                "target_known",
+                "target_started",
                 target=row.name,
                 address=record.address,
                 service=record.service,
--- a/packages/router/fulmarward_router/state/_watch.py
+++ b/packages/router/fulmarward_router/state/_watch.py
@@ -1,4 +1,4 @@
-"""The tasks that follow the store: the operator's configuration, and the targets."""
+"""Tasks that follow the store's tables of the configuration and of the targets."""
 
 import asyncio
 import random
@@ -20,45 +20,46 @@
 )
 from fulmarward_router.state._configuration import ConfigurationHolder
 
-#: Seconds for which one call waits for a newer configuration. Short enough to notice a
-#: silent connection before the configuration is to be in force.
+#: Seconds for which one call waits for a newer configuration. It is short enough to
+#: detect a silent connection before a new configuration must be in force.
 CONFIGURATION_WAIT_S = 1.8
 
-#: The same after a change: only a call that ends without one confirms that there is
-#: nothing newer.
+#: The same for the call after a change: only a call that returns no change confirms
+#: that there is nothing newer.
 RECHECK_WAIT_S = 0.2
 
-#: Seconds between two readings of the targets' changes; each call is paid for.
+#: Seconds between two reads of the targets' changes; each call to the store costs.
 TARGETS_INTERVAL_S = 0.4
 
-#: Seconds between two checks whether this instance is to read by itself, by whether
-#: there are many instances.
+#: Seconds between two checks whether this instance must read the store itself, by
+#: whether the fleet is large.
 _CHECK_INTERVAL_S = {False: 0.1, True: 0.3}
 
-#: Seconds for which a reading of the targets waits when nothing changed.
+#: Seconds for which a read of the targets waits for a change.
 TARGETS_WAIT_S = 0.6
 
-#: Instances that read the targets for all; with two, one death delays nothing.
+#: Instances that read the targets for the whole fleet. With two, the failure of one
+#: delays nothing.
 READERS = 2
 
-#: Seconds without confirmed news after which an instance reads by itself, and the
-#: heartbeats for which it waits besides: on the way from a reader, where all are linked
-#: to all and where hubs pass news on.
+#: Seconds without a confirmation after which an instance reads the store itself, plus
+#: the heartbeats that a confirmation takes to arrive from a reader: in a full mesh, and
+#: through hubs.
 STALE_S = 0.65
 _STALE_HEARTBEATS = 1.5
 _STALE_HEARTBEATS_BY_HUBS = 4.0
 
-#: Instances that wait for the configuration at the store where there are many: each is
-#: sent the row uncompressed.
+#: Instances that follow the configuration at the store in a large fleet. Their number
+#: is limited because the store sends the row uncompressed to each.
 CONFIGURATION_READERS = 4
 
-#: Seconds before the store is tried again after it was out, growing to the maximum.
+#: Seconds before a failed call to the store is retried; doubled up to the maximum.
 RETRY_S = 0.15
 MAX_RETRY_INTERVAL_S = 0.6
 
 
 class StoreWatch:
-    """Follows the store's tables and notes whether the store answers."""
+    """Follows the store's tables and tracks whether the store is reachable."""
 
     def __init__(
         self,
@@ -78,22 +79,22 @@
         self._catalogue = catalogue
         self._read_clock = read_clock
         self._note_change = note_change
-        self._note_news = note_targets
+        self._note_targets = note_targets
         self._is_among_first = is_among_first
         self._is_large = is_large
         self._read_heartbeat_interval_s = read_heartbeat_interval_s
-        self._is_out: dict[str, bool] = {}
-        #: Since when the store does not answer, `None` while it does.
+        self._has_outage: dict[str, bool] = {}
+        #: Since when the store has been unreachable, `None` while it answers.
         self.out_since: float | None = None
 
     async def follow_configuration(self) -> None:
-        """Keep the configuration in force as new as the store's, until cancelled."""
+        """Keep the configuration up to date with the store, until cancelled."""
         table = self._store.configuration_table
         version: int | None = None
         pause_s = RETRY_S
         has_changes = False
         while True:
-            if version is not None and not self._must_wait():
+            if version is not None and not self._must_follow_configuration():
                 await asyncio.sleep(_CHECK_INTERVAL_S[self._is_large()])
                 continue
             asked_at = self._read_clock()
@@ -109,12 +110,12 @@
                 version = None
                 continue
             except (StoreRefused, ReplyLost) as error:
-                self._note_out(table, error)
+                self._record_outage(table, error)
                 await asyncio.sleep(pause_s * random.uniform(0.7, 1.3))
                 pause_s = min(MAX_RETRY_INTERVAL_S, pause_s * 2)
                 continue
             pause_s = RETRY_S
-            self._note_in(table)
+            self._record_success(table)
             has_changes = version is None or bool(read.rows)
             version = read.version
             confirmed_at = find_confirmed_at(
@@ -128,53 +129,53 @@
     def _merge_configuration(self, read: RowsRead, confirmed_at: float) -> None:
         now = self._read_clock()
         self._configuration.record_confirmation(at=confirmed_at)
-        taken = [
+        adopted = [
             self._configuration.take_row(row, source="store", now=now)
             for row in read.rows
         ]
-        if any(taken):
+        if any(adopted):
             self._note_change()
 
     async def follow_targets(self) -> None:
-        """Keep the catalogue current, by reading or by waiting for peers' news."""
+        """Keep the catalogue up to date, by reads or by peers' reports."""
         pause_s = RETRY_S
-        is_whole = False
+        is_complete = False
         while True:
-            if is_whole and not self._must_read():
+            if is_complete and not self._must_read_targets():
                 await asyncio.sleep(_CHECK_INTERVAL_S[self._is_large()])
                 continue
             try:
-                if is_whole:
+                if is_complete:
                     await self._read_changes()
                 else:
                     await self._read_all()
-                is_whole = True
+                is_complete = True
             except HistoryGone:
                 log_event(
                     "history_gone",
                     table=self._store.targets_table,
                     version=self._catalogue.version,
                 )
-                is_whole = False
+                is_complete = False
                 continue
             except (StoreRefused, ReplyLost) as error:
-                self._note_out(self._store.targets_table, error)
+                self._record_outage(self._store.targets_table, error)
                 await asyncio.sleep(pause_s * random.uniform(0.7, 1.3))
                 pause_s = min(MAX_RETRY_INTERVAL_S, pause_s * 2)
                 continue
             pause_s = RETRY_S
-            self._note_in(self._store.targets_table)
+            self._record_success(self._store.targets_table)
             await asyncio.sleep(TARGETS_INTERVAL_S)
 
-    def _must_read(self) -> bool:
+    def _must_read_targets(self) -> bool:
         is_stale = self._is_stale(self._catalogue.confirmed_at)
         return is_stale or self._is_among_first(READERS)
 
-    def _must_wait(self) -> bool:
-        """Whether this instance waits at the store for the configuration itself."""
+    def _must_follow_configuration(self) -> bool:
+        """Return whether this instance follows the configuration at the store."""
         if not self._is_large() or self._is_among_first(CONFIGURATION_READERS):
             return True
-        # A reader confirms the configuration as often as its call ends.
+        # A reader confirms the configuration only when its call returns.
         return self._is_stale(self._configuration.confirmed_at + CONFIGURATION_WAIT_S)
 
     def _is_stale(self, confirmed_at: float) -> bool:
@@ -190,7 +191,7 @@
         rows = [self.decode_row(row, now=now) for row in read.rows]
         self._catalogue.take_all(rows, read.version, now=now)
         log_event("targets_read", rows=len(rows), store_version=read.version)
-        self._note_news(rows)
+        self._note_targets(rows)
 
     async def _read_changes(self) -> None:
         read = await self._store.follow_table(
@@ -198,10 +199,10 @@
         )
         now = self._read_clock()
         rows = [self.decode_row(row, now=now) for row in read.rows]
-        self._note_news(self._catalogue.take_changes(rows, read.version, now=now))
+        self._note_targets(self._catalogue.take_changes(rows, read.version, now=now))
 
     def decode_row(self, row: Row, *, now: float) -> KnownRow:
-        """Return a row of the targets' table as the catalogue keeps it."""
+        """Return a row of the targets' table in the form that the catalogue stores."""
         return KnownRow(
             name=row.key,
             version=row.version,
@@ -210,17 +211,17 @@
             heard_at=now,
         )
 
-    def _note_out(self, table: str, error: Exception) -> None:
+    def _record_outage(self, table: str, error: Exception) -> None:
         now = self._read_clock()
-        if not self._is_out.get(table):
+        if not self._has_outage.get(table):
             log_event("store_lost", table=table, cause=repr(error))
-        self._is_out[table] = True
+        self._has_outage[table] = True
         if self.out_since is None:
             self.out_since = now
 
-    def _note_in(self, table: str) -> None:
-        if self._is_out.get(table):
+    def _record_success(self, table: str) -> None:
+        if self._has_outage.get(table):
             log_event("store_regained", table=table)
-        self._is_out[table] = False
-        if not any(self._is_out.values()):
+        self._has_outage[table] = False
+        if not any(self._has_outage.values()):
             self.out_since = None
