--- a/packages/router/fulmarward_router/mesh/__init__.py
+++ b/packages/router/fulmarward_router/mesh/__init__.py
@@ -1,4 +1,4 @@
-"""What instances tell each other, on links of their own or through hubs."""
+"""Messages between instances, over direct links or through hubs."""
 
 from fulmarward_router.mesh._codec import decode_message, encode_message
 from fulmarward_router.mesh._links import Mesh
--- a/packages/router/fulmarward_router/mesh/_codec.py
+++ b/packages/router/fulmarward_router/mesh/_codec.py
@@ -1,4 +1,4 @@
-"""Messages between instances as CBOR."""
+"""Encodes and decodes the messages between instances as CBOR."""
 
 from fulmarward_core.codec import MessageCodec
 from fulmarward_router.mesh._messages import MESSAGES
--- a/packages/router/fulmarward_router/mesh/_links.py
+++ b/packages/router/fulmarward_router/mesh/_links.py
@@ -1,4 +1,4 @@
-"""The links to other instances: dialled, heard, asked and answered."""
+"""Dials and accepts the links to other instances and dispatches their messages."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -33,52 +33,51 @@
 )
 from fulmarward_router.mesh._state import Fetch, MeshState, Revisions
 
-#: Seconds for a link to open, and for a message to get through.
+#: Seconds in which a link must open, and in which a message must be sent.
 OPEN_TIMEOUT_S = 0.6
 SEND_TIMEOUT_S = 1.0
 
-#: Seconds between pings of a link that a peer dialled; missing heartbeats show its
-#: silence long before.
+#: Seconds between pings of a link that a peer dialled. Missing heartbeats reveal a
+#: silent peer long before.
 ACCEPTED_PING_INTERVAL_S = 20.0
 
 #: Seconds between two fetches of the list of instances.
 FETCH_INSTANCES_INTERVAL_S = 0.5
 
-#: Seconds for which a link is kept that is no longer wanted; a seed introduces the
-#: others on it.
+#: Seconds after which a link that is not wanted is closed. A seed introduces the other
+#: instances on such a link.
 UNWANTED_DURATION_S = 1.0
 
-#: Seconds before a failed link is dialled again: the first pause, and the longest.
+#: Seconds before a failed link is dialled again; doubled up to the maximum.
 RETRY_S = 0.2
 MAX_RETRY_INTERVAL_S = 2.0
 
-#: Seconds after its start in which an instance is no hub: it knows nobody yet.
-HUB_AFTER_S = 1.0
+#: Seconds after its start before an instance may be a hub, as it knows no others yet.
+HUB_DELAY_S = 1.0
 
-#: How often a seed is dialled that is not known to be an instance.
-SEED_TRIES = 5
+#: How often a seed is dialled while no instance is known at its address.
+SEED_ATTEMPTS = 5
 
-#: Upper bound of one message.
 MAX_MESSAGE_BYTES = 4 << 20
 
 
 @dataclass(kw_only=True, eq=False)
-class _Heard:
-    """What was heard on a link."""
+class _LinkReceiver:
+    """The state of the receiving side of a link."""
 
     connection: Connection
-    #: Whether a peer dialled it.
+    #: Whether the peer dialled the link.
     is_accepted: bool
-    #: Names of those that sent heartbeats.
+    #: Names of the instances that sent heartbeats.
     senders: set[str] = field(default_factory=set)
-    #: Whether the peer subscribes to what it wants to hear, on links that it dials.
+    #: Whether the peer has sent a `Subscription`.
     subscribes: bool = False
-    #: What is sent back to a subscriber, and to a hub that was dialled.
+    #: The sending side of a dialled link, or of one to a subscriber.
     link: PeerLink | None = None
 
 
 class Mesh:
-    """The links that this instance dials and those that it accepts, a task for each."""
+    """The links that this instance dials and accepts, with one task for each."""
 
     def __init__(
         self,
@@ -106,43 +105,43 @@
             read_clock=read_clock,
             count_bytes=count_bytes,
         )
-        self._dialling: dict[str, asyncio.Task] = {}
-        #: Links that are being closed.
-        self._closing: set[asyncio.Task] = set()
-        #: Peer addresses to keep links to.
+        self._dial_tasks: dict[str, asyncio.Task] = {}
+        #: Tasks that close links.
+        self._closing_tasks: set[asyncio.Task] = set()
+        #: Peer addresses to maintain links to.
         self._wanted: frozenset[str] = frozenset()
-        #: Since when each open link is not wanted.
+        #: Since when each open link has not been wanted.
         self._unwanted_since: dict[str, float] = {}
-        #: What takes in a message, by its kind.
+        #: Handlers by type of message.
         self._handlers: dict[type, Callable[..., Awaitable[None]]] = {
-            Introduction: self._take_introduction,
-            Heartbeat: self._take_heartbeat,
-            FleetReport: self._take_fleet_report,
-            FleetLoads: self._take_fleet_loads,
-            LoadUpdate: self._take_update,
-            Subscription: self._take_subscription,
-            FetchInstances: self._take_fetch_instances,
-            DataCentreReport: self._take_report,
-            CompressedConfiguration: self._take_row,
-            ConfigurationSnapshot: self._take_snapshot,
-            TargetChanges: self._take_snapshot,
-            SupportsCompression: self._take_supports,
-            ConfigurationDeferred: self._take_deferred,
-            ConfigurationReceived: self._take_received,
+            Introduction: self._handle_introduction,
+            Heartbeat: self._handle_heartbeat,
+            FleetReport: self._handle_fleet_report,
+            FleetLoads: self._handle_fleet_loads,
+            LoadUpdate: self._handle_load_update,
+            Subscription: self._handle_subscription,
+            FetchInstances: self._handle_fetch_instances,
+            DataCentreReport: self._handle_data_centre_report,
+            CompressedConfiguration: self._handle_compressed_configuration,
+            ConfigurationSnapshot: self._handle_snapshot,
+            TargetChanges: self._handle_snapshot,
+            SupportsCompression: self._handle_supports_compression,
+            ConfigurationDeferred: self._handle_deferred,
+            ConfigurationReceived: self._handle_received,
         }
         self._fetched_instances_at = float("-inf")
-        self._began_at = read_clock()
+        self._started_at = read_clock()
 
     def notify(self) -> None:
-        """Send heartbeats now: something changed that peers should know at once."""
+        """Send heartbeats now, to report an urgent change."""
         self._sender.notify()
 
     def notify_loads(self) -> None:
-        """Send loads soon: some have changed."""
+        """Send the loads soon, as some have changed."""
         self._sender.notify_loads()
 
     async def run(self, seeds: tuple[str, ...]) -> None:
-        """Keep a link to every instance that is known, until cancelled."""
+        """Maintain the links to other instances, until cancelled."""
         for seed in seeds:
             if seed != self._own.peer_address:
                 self._dial(seed, is_seed=True)
@@ -157,12 +156,12 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def _choose_links(self, now: float) -> None:
-        """Dial whoever is to be linked, and end other links after a while."""
+        """Dial the instances chosen as peers, and close other links after a while."""
         self._members.forget_silent(now=now)
-        # An instance that has just begun knows of nobody yet, and would be a hub.
-        may_be_hub = now - self._began_at >= HUB_AFTER_S
+        # An instance that has just started knows no others yet and would be a hub.
+        may_be_hub = now - self._started_at >= HUB_DELAY_S
         if not may_be_hub and self._sender.list_links():
-            # Whoever is dialled before the others are known is soon not wanted.
+            # Links chosen before the other instances are known would soon be unwanted.
             return
         links = self._members.list_links(may_be_hub=may_be_hub, now=now)
         self._wanted = links - {self._own.peer_address, ""}
@@ -172,7 +171,7 @@
             log_event("hub_changed", is_hub=is_hub, links=len(self._wanted))
         for address in self._wanted:
             self._dial(address, is_seed=False)
-        self._end_unwanted(now)
+        self._close_unwanted(now)
         hubs = self._members.list_subscriptions(now=now)
         if not hubs:
             self._members.leave_hubs()
@@ -181,7 +180,7 @@
                 self._subscribe(link, hubs)
 
     def _subscribe(self, link: PeerLink, hubs: Sequence[str]) -> None:
-        """Say what is to come back on a dialled link, where that has changed."""
+        """Send a subscription on a dialled link if it has changed."""
         is_hub = link.address in hubs
         subscription = Subscription(
             sender=self._own.name,
@@ -191,60 +190,60 @@
         )
         if subscription != link.subscription:
             link.subscription = subscription
-            self._write(link.connection, subscription)
+            self._send_nowait(link.connection, subscription)
 
-    def _write(self, connection: Connection, message: object) -> None:
-        """Send a small message without waiting for the link."""
+    def _send_nowait(self, connection: Connection, message: object) -> None:
+        """Send a small message without waiting for the write buffer to drain."""
         data = self._encode(message)
         self._count_bytes("out", len(data))
         broadcast([connection], data)
 
-    def _end_unwanted(self, now: float) -> None:
-        """End links that are open and have not been wanted for a while."""
+    def _close_unwanted(self, now: float) -> None:
+        """Close dialled links that have been unwanted for `UNWANTED_DURATION_S`."""
         links = self._sender.list_links()
-        opened = {link.address for link in links if link.is_dialled}
+        open_addresses = {link.address for link in links if link.is_dialled}
         self._unwanted_since = {
             address: self._unwanted_since.get(address, now)
-            for address in opened - self._wanted
+            for address in open_addresses - self._wanted
         }
         for address, since in self._unwanted_since.items():
-            if now - since > UNWANTED_DURATION_S and address in self._dialling:
-                log_event("peer_link_ended", peer=address)
-                self._end(address)
+            if now - since > UNWANTED_DURATION_S and address in self._dial_tasks:
+                log_event("peer_link_closed", peer=address)
+                self._close_dialled(address)
 
-    def _end(self, address: str) -> None:
-        """Close a dialled link in order.
+    def _close_dialled(self, address: str) -> None:
+        """Close a dialled link with a closing handshake.
 
-        Guards against a peer that takes the end for this instance's death.
+        Without one the peer would take this instance for dead.
         """
         for link in self._sender.list_links():
             if link.is_dialled and link.address == address:
                 closing = asyncio.create_task(link.connection.close())
-                self._closing.add(closing)
-                closing.add_done_callback(self._closing.discard)
+                self._closing_tasks.add(closing)
+                closing.add_done_callback(self._closing_tasks.discard)
 
     async def close(self) -> None:
-        """End all dialled links."""
-        for task in self._dialling.values():
+        """Cancel the tasks of all dialled links."""
+        for task in self._dial_tasks.values():
             task.cancel()
 
     def _dial(self, address: str, *, is_seed: bool) -> None:
-        if address in self._dialling:
+        if address in self._dial_tasks:
             return
-        task = asyncio.create_task(self._keep_link(address, is_seed=is_seed))
-        self._dialling[address] = task
-        task.add_done_callback(lambda _: self._dialling.pop(address, None))
+        task = asyncio.create_task(self._maintain_link(address, is_seed=is_seed))
+        self._dial_tasks[address] = task
+        task.add_done_callback(lambda _: self._dial_tasks.pop(address, None))
 
-    async def _keep_link(self, address: str, *, is_seed: bool) -> None:
-        """Dial an address again and again while an instance is known there."""
+    async def _maintain_link(self, address: str, *, is_seed: bool) -> None:
+        """Keep a link to an address open while it is wanted; redial after a failure."""
         pause_s = RETRY_S
-        tries = 0
-        while address in self._wanted or (is_seed and tries < SEED_TRIES):
+        attempts = 0
+        while address in self._wanted or (is_seed and attempts < SEED_ATTEMPTS):
             try:
                 async with connect(
                     f"ws://{address}",
                     open_timeout=OPEN_TIMEOUT_S,
-                    # The rounds of heartbeats ping.
+                    # `HeartbeatSender` sends the pings.
                     ping_interval=None,
                     close_timeout=0.2,
                     max_size=MAX_MESSAGE_BYTES,
@@ -252,17 +251,17 @@
                     proxy=None,
                 ) as link:
                     log_event("peer_linked", peer=address)
-                    pause_s, tries = RETRY_S, SEED_TRIES
-                    await self._speak(link, address)
+                    pause_s, attempts = RETRY_S, SEED_ATTEMPTS
+                    await self._run_dialled_link(link, address)
             except (OSError, TimeoutError, WebSocketException) as error:
                 log_event("peer_link_lost", peer=address, cause=repr(error))
-            tries += 1
+            attempts += 1
             await asyncio.sleep(pause_s)
             pause_s = min(MAX_RETRY_INTERVAL_S, pause_s * 2)
 
-    async def _speak(self, connection: Connection, address: str) -> None:
-        """Introduce this instance, then send heartbeats until the link ends."""
-        await self._send(connection, self._introduce(is_answer=False))
+    async def _run_dialled_link(self, connection: Connection, address: str) -> None:
+        """Introduce this instance, then send and receive until the link closes."""
+        await self._send(connection, self._make_introduction(is_answer=False))
         supports = SupportsCompression(sender=self._own.name, boot=self._own.boot)
         await self._send(connection, supports)
         if self._must_fetch_instances():
@@ -271,21 +270,21 @@
         hubs = self._members.list_subscriptions(now=self._read_clock())
         self._subscribe(link, hubs)
         self._sender.add(link)
-        heard = _Heard(connection=connection, is_accepted=False, link=link)
+        receiver = _LinkReceiver(connection=connection, is_accepted=False, link=link)
         try:
-            await self._listen(heard)
+            await self._receive(receiver)
         except (OSError, WebSocketException):
-            self._note_lost(heard)
+            self._record_link_lost(receiver)
             raise
         finally:
             self._sender.remove(link)
-            for name in heard.senders:
+            for name in receiver.senders:
                 self._state.note_link_lost(name)
 
-    def _introduce(self, *, is_answer: bool) -> Introduction:
-        """Return the first message of a link, or the answer to a fetch.
+    def _make_introduction(self, *, is_answer: bool) -> Introduction:
+        """Return the first message of a link, or the answer to `FetchInstances`.
 
-        Where there are many instances, the others are told of only to who asks.
+        In a large fleet, only an answer lists the known instances.
         """
         known: tuple[InstanceIdentity, ...] = ()
         if is_answer or not self._members.is_large:
@@ -293,125 +292,143 @@
         return Introduction(sender=self._own, known=known)
 
     def _must_fetch_instances(self) -> bool:
-        """Whether to ask now for the instances that a peer knows."""
+        """Return whether a fetch of the instances that a peer knows is due."""
         now = self._read_clock()
         if now - self._fetched_instances_at < FETCH_INSTANCES_INTERVAL_S:
             return False
         self._fetched_instances_at = now
         return True
 
-    async def _listen(self, heard: _Heard) -> None:
-        """Hear what comes on a link."""
-        async for data in heard.connection:
+    async def _receive(self, receiver: _LinkReceiver) -> None:
+        """Handle the messages of a link until it closes."""
+        async for data in receiver.connection:
             self._count_bytes("in", len(data))
             try:
                 message = self._decode(data)
             except MessageFault as error:
-                log_event("peer_message_wrong", cause=str(error))
+                log_event("peer_message_invalid", cause=str(error))
                 continue
-            await self._take(heard, message)
+            await self._handle_message(receiver, message)
 
-    async def _take(self, heard: _Heard, message: object) -> None:
+    async def _handle_message(self, receiver: _LinkReceiver, message: object) -> None:
         handle = self._handlers.get(type(message))
         if handle is not None:
-            await handle(heard, message)
+            await handle(receiver, message)
         elif isinstance(message, Fetch):
             answer = self._state.answer(message)
             if answer is not None:
-                await self._send(heard.connection, answer)
+                await self._send(receiver.connection, answer)
 
-    async def _take_introduction(self, heard: _Heard, message: Introduction) -> None:
+    async def _handle_introduction(
+        self, receiver: _LinkReceiver, message: Introduction
+    ) -> None:
         identities = [message.sender, *message.known]
         self._members.merge_members(identities, now=self._read_clock())
 
-    async def _take_heartbeat(self, heard: _Heard, message: Heartbeat) -> None:
+    async def _handle_heartbeat(
+        self, receiver: _LinkReceiver, message: Heartbeat
+    ) -> None:
         sender = message.sender
-        heard.senders.add(sender.name)
-        if heard.is_accepted:
-            needs_dialling = not heard.subscribes
+        receiver.senders.add(sender.name)
+        if receiver.is_accepted:
+            needs_dialling = not receiver.subscribes
             self._members.note_dialling(
                 sender.name, sender.boot, is_needed=needs_dialling
             )
         self._members.merge_heartbeat(message, now=self._read_clock())
         for fetch in self._state.merge_heartbeat(message):
-            await self._send(heard.connection, fetch)
+            await self._send(receiver.connection, fetch)
 
-    async def _take_fleet_report(self, heard: _Heard, message: FleetReport) -> None:
-        if heard.link is not None:
-            heard.link.takes_updates = True
+    async def _handle_fleet_report(
+        self, receiver: _LinkReceiver, message: FleetReport
+    ) -> None:
+        if receiver.link is not None:
+            receiver.link.expects_load_updates = True
         self._members.merge_fleet(message, now=self._read_clock())
-        if not self._state.merge_fleet_report(message) and heard.link is not None:
-            self._write(heard.connection, heard.link.subscription)
-        await self._take_heartbeat(heard, message.heartbeat)
+        if not self._state.merge_fleet_report(message) and receiver.link is not None:
+            self._send_nowait(receiver.connection, receiver.link.subscription)
+        await self._handle_heartbeat(receiver, message.heartbeat)
 
-    async def _take_fleet_loads(self, heard: _Heard, message: FleetLoads) -> None:
-        if not self._state.merge_fleet_loads(message) and heard.link is not None:
-            self._write(heard.connection, heard.link.subscription)
+    async def _handle_fleet_loads(
+        self, receiver: _LinkReceiver, message: FleetLoads
+    ) -> None:
+        if not self._state.merge_fleet_loads(message) and receiver.link is not None:
+            self._send_nowait(receiver.connection, receiver.link.subscription)
 
-    async def _take_update(self, heard: _Heard, message: LoadUpdate) -> None:
-        if heard.link is not None:
-            heard.link.is_busy = bool(message.loads)
+    async def _handle_load_update(
+        self, receiver: _LinkReceiver, message: LoadUpdate
+    ) -> None:
+        if receiver.link is not None:
+            receiver.link.is_busy = bool(message.loads)
         self._state.merge_load_update(message)
 
-    async def _take_subscription(self, heard: _Heard, message: Subscription) -> None:
-        """Send heartbeats back to whoever asks for them, from now on."""
-        heard.subscribes = True
+    async def _handle_subscription(
+        self, receiver: _LinkReceiver, message: Subscription
+    ) -> None:
+        """Start or stop sending heartbeats on an accepted link, as its peer asks."""
+        receiver.subscribes = True
         self._members.note_dialling(message.sender, message.boot, is_needed=False)
-        if heard.link is not None:
-            self._sender.remove(heard.link)
-            heard.link = None
+        if receiver.link is not None:
+            self._sender.remove(receiver.link)
+            receiver.link = None
         if not message.wants_heartbeats:
             return
         supports = SupportsCompression(sender=self._own.name, boot=self._own.boot)
-        self._write(heard.connection, supports)
-        heard.link = PeerLink(
-            connection=heard.connection,
+        self._send_nowait(receiver.connection, supports)
+        receiver.link = PeerLink(
+            connection=receiver.connection,
             address=self._members.find_address(message.sender),
             is_dialled=False,
-            told=Revisions() if message.wants_reports else None,
+            subscriber_revisions=Revisions() if message.wants_reports else None,
         )
-        self._sender.add(heard.link)
+        self._sender.add(receiver.link)
 
-    async def _take_fetch_instances(
-        self, heard: _Heard, message: FetchInstances
+    async def _handle_fetch_instances(
+        self, receiver: _LinkReceiver, message: FetchInstances
     ) -> None:
-        await self._send(heard.connection, self._introduce(is_answer=True))
+        await self._send(receiver.connection, self._make_introduction(is_answer=True))
 
-    async def _take_report(self, heard: _Heard, message: DataCentreReport) -> None:
+    async def _handle_data_centre_report(
+        self, receiver: _LinkReceiver, message: DataCentreReport
+    ) -> None:
         self._state.merge_data_centre(message)
         now = self._read_clock()
         has_unknown = self._members.merge_data_centre(message, now=now)
         if has_unknown and self._must_fetch_instances():
-            await self._send(heard.connection, FetchInstances())
+            await self._send(receiver.connection, FetchInstances())
 
-    async def _take_snapshot(
-        self, heard: _Heard, message: ConfigurationSnapshot | TargetChanges
+    async def _handle_snapshot(
+        self, receiver: _LinkReceiver, message: ConfigurationSnapshot | TargetChanges
     ) -> None:
         self._state.merge_snapshot(message)
 
-    async def _take_supports(self, heard: _Heard, message: SupportsCompression) -> None:
+    async def _handle_supports_compression(
+        self, receiver: _LinkReceiver, message: SupportsCompression
+    ) -> None:
         self._state.note_supports_compression(message)
 
-    async def _take_deferred(
-        self, heard: _Heard, message: ConfigurationDeferred
+    async def _handle_deferred(
+        self, receiver: _LinkReceiver, message: ConfigurationDeferred
     ) -> None:
         self._state.note_deferred(message)
 
-    async def _take_received(
-        self, heard: _Heard, message: ConfigurationReceived
+    async def _handle_received(
+        self, receiver: _LinkReceiver, message: ConfigurationReceived
     ) -> None:
         self._state.note_received(message)
 
-    async def _take_row(self, heard: _Heard, message: CompressedConfiguration) -> None:
-        """Say that a row has come, and take it in.
+    async def _handle_compressed_configuration(
+        self, receiver: _LinkReceiver, message: CompressedConfiguration
+    ) -> None:
+        """Acknowledge the configuration, then merge it.
 
-        The word goes first: the teller's link is free now, and reading takes time.
-        Guards against a way out that is full: the word ends the link then, and the
-        row, which has come, would be asked for once more.
+        The acknowledgement is sent first, as the sender can serve the next peer while
+        this one decodes. If it fails on a saturated link, which closes the link, the
+        configuration is merged all the same and need not be fetched again.
         """
         try:
             received = ConfigurationReceived(sender=self._own.name)
-            await self._send(heard.connection, received)
+            await self._send(receiver.connection, received)
         finally:
             self._state.merge_snapshot(message)
 
@@ -424,29 +441,29 @@
             await link.send(data)
 
     async def accept(self, connection: Connection) -> None:
-        """Hear a link that a peer dialled; what it asks for goes back on the link."""
-        # A link that is closed in order says nothing of its peer: it may have become
-        # needless. A killed process sends no closing frame.
-        heard = _Heard(connection=connection, is_accepted=True)
+        """Handle a link that a peer dialled, until it closes."""
+        # A link that is closed with a handshake says nothing about its peer, which may
+        # just not need it any more. A killed process sends no closing frame.
+        receiver = _LinkReceiver(connection=connection, is_accepted=True)
         try:
-            await self._listen(heard)
+            await self._receive(receiver)
         except (OSError, TimeoutError, WebSocketException) as error:
             peer = str(connection.remote_address)
-            log_event("peer_gone", peer=peer, cause=repr(error))
-            self._note_lost(heard)
+            log_event("accepted_link_lost", peer=peer, cause=repr(error))
+            self._record_link_lost(receiver)
         finally:
-            if heard.link is not None:
-                self._sender.remove(heard.link)
-            for name in heard.senders:
+            if receiver.link is not None:
+                self._sender.remove(receiver.link)
+            for name in receiver.senders:
                 self._state.note_link_lost(name)
 
-    def _note_lost(self, heard: _Heard) -> None:
-        """A link broke: those that were heard on it are silent until heard again."""
-        for name in heard.senders:
+    def _record_link_lost(self, receiver: _LinkReceiver) -> None:
+        """Mark the instances that sent on a broken link as silent."""
+        for name in receiver.senders:
             self._members.note_link_lost(name, now=self._read_clock())
 
     async def listen(self, address: str) -> Server:
-        """Accept links of peers at `IP:PORT`."""
+        """Accept links from peers at `address`, given as `IP:PORT`."""
         host, port = address.rsplit(":", 1)
         return await serve(
             self.accept,
--- a/packages/router/fulmarward_router/mesh/_members.py
+++ b/packages/router/fulmarward_router/mesh/_members.py
@@ -1,4 +1,4 @@
-"""The instances that are known, and what each last said of itself."""
+"""The table of the other instances and of their last known states."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
@@ -20,140 +20,140 @@
     MemberReport,
 )
 
-#: Seconds without a heartbeat after which an instance is not given to callers.
+#: Seconds without a heartbeat after which no callers are sent to an instance.
 FRESH_S = 1.3
 
-#: Seconds between two heartbeats with up to `FULL_MESH` instances; with more it grows,
-#: so that the heartbeats of those that are linked each to each cost the same.
+#: Seconds between two heartbeats with up to `FULL_MESH` instances. It grows with more
+#: instances, so that the cost of the heartbeats in a full mesh stays the same.
 HEARTBEAT_INTERVAL_S = 0.3
 
-#: Seconds between two heartbeats of an instance that follows hubs, or is one: while
-#: requests of its own run, and while none do.
+#: Seconds between two heartbeats of a hub or of an instance that subscribes to hubs:
+#: while it has requests in flight, and while it has none.
 SUBSCRIBER_INTERVAL_S = 0.4
 IDLE_SUBSCRIBER_INTERVAL_S = 0.6
 
-#: Heartbeats that may be missing before an instance counts as silent.
+#: Heartbeats that may be missed before an instance counts as silent.
 _MAX_MISSED_HEARTBEATS = 3.0
 
-#: Report intervals by which an instance of another data centre may be older: its hub
-#: waits for its heartbeat, and the hub here for the other hub's report.
+#: Report intervals by which the state of an instance of another data centre may be
+#: older: its hub waits for its heartbeat, and the hub here for the other hub's report.
 _HUB_HOPS = 2.0
 
-#: Seconds for which a hub tries the same few instances of a silent data centre.
+#: Seconds for which a hub dials the same few instances of a silent data centre.
 TURN_S = 2.0
 
-#: Seconds without a heartbeat after which an instance is no longer dialled, unless the
-#: store still lists it; longer than a restart or a short partition.
+#: Seconds without a heartbeat after which an instance is removed and no longer dialled,
+#: unless the store still lists it. Longer than a restart or a short partition.
 FORGET_S = 45.0
 
-#: Seconds for which an instance that was told of and not heard yet counts as alive in
-#: the choice of links: all that start together then choose the same hubs.
+#: Seconds for which an instance that is known but was not heard yet counts as alive in
+#: the choice of links, so that instances that start together choose the same hubs.
 NEW_DURATION_S = 2.0
 
-#: Seconds between two reports of a hub on a data centre in which nothing changed.
+#: Seconds between two reports of a hub on a data centre without changes.
 DATA_CENTRE_REPORT_INTERVAL_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class MemberState:
-    """What an instance says of itself."""
+    """The state that an instance reports of itself."""
 
-    #: Whether it may be given to callers.
+    #: Whether callers may be sent to it.
     is_ready: bool
     #: Whether it is stopping.
     is_leaving: bool
-    #: Whether the store answers it.
     is_store_reachable: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class Member:
-    """Another instance."""
+    """Another instance and its last known state."""
 
-    #: What is told of it.
     identity: InstanceIdentity
-    #: What it last said, `None` before that and after its link was lost.
+    #: Its last state, `None` before the first one and after its link was lost.
     state: MemberState | None
-    #: When it was last heard, or first told of; seconds on the steady clock.
+    #: When it was last heard, or discovered; seconds on the monotonic clock.
     heard_at: float
-    #: When it was last heard or its link was lost: what is newer counts.
+    #: When it was last heard or its link was lost; of two reports, the newer one wins.
     noted_at: float
-    #: Whether it was heard on a link of its own, not by the word of a hub.
+    #: Whether it was heard on a link of its own, and not through a hub.
     is_direct: bool = True
-    #: Whether streams there look as if a target were slow. No part of its state, since
-    #: other data centres are not told of it.
+    #: Whether its streams indicate a slow target. Not part of its state, as it is not
+    #: reported to other data centres.
     sees_slow_streams: bool = False
 
     @property
     def is_new(self) -> bool:
-        """Whether it was told of, and neither heard nor lost since."""
+        """Whether it was discovered and neither heard nor lost since."""
         return self.state is None and self.heard_at == self.noted_at
 
 
 @dataclass(frozen=True, kw_only=True)
 class _View:
-    """What follows from who was heard lately.
+    """Data derived from the members, cached until one of them expires.
 
-    It holds until one of them is silent for too long; heartbeats that say nothing else
-    than before only extend it.
+    It is not invalidated by heartbeats that report the same state as before.
     """
 
-    #: The span in which it holds, seconds on the steady clock.
+    #: The time span in which it is valid, seconds on the monotonic clock.
     since: float
     until: float
-    #: Until when each counts as heard lately, by name.
+    #: Until when each live instance counts as fresh, by name.
     fresh: Mapping[str, float]
-    #: Those that may act for all, in order: they stay, and the store answers them.
+    #: Those that may act for the fleet, in order: not leaving, and reach the store.
     acting: tuple[str, ...]
-    #: Those and the ones that were told of just now, in order.
+    #: Those and the new ones that were not heard yet, in order.
     presumed: tuple[str, ...]
-    #: All instances, as far as links are concerned.
+    #: All other instances, as input of the choice of links.
     nodes: tuple[Node, ...]
-    #: Peer addresses of the hubs that this instance follows, in order.
+    #: Peer addresses of the hubs that this instance subscribes to, in order.
     subscriptions: tuple[str, ...]
     #: Names of the hubs of all data centres.
     hubs: frozenset[str]
 
 
 class MemberTable:
-    """All other instances by name."""
+    """The table of all other instances, by name."""
 
     def __init__(self, *, own: InstanceIdentity) -> None:
         self._own = own
         self._members: dict[str, Member] = {}
-        #: Instances of the own data centre, and the data centre at each peer address;
-        #: `None` until asked for again after who is known has changed.
-        self._nearby: int | None = None
-        self._centres: dict[str, str] | None = None
-        #: The view of the members, and the links and hubs chosen by it.
+        #: Number of others in the own data centre, and the data centre at each peer
+        #: address; `None` after a change of the known instances until next used.
+        self._nearby_count: int | None = None
+        self._centre_by_address: dict[str, str] | None = None
+        #: The cached view of the members, and the links and hubs chosen from it.
         self._cached_view: _View | None = None
         self._links: dict[tuple[bool, int], frozenset[str]] = {}
         self._hubs: dict[bool, bool] = {}
-        #: Rises whenever an instance comes, goes, or says something else of itself.
+        #: Increases whenever an instance is added or removed, or changes its state.
         self.revision = 0
-        #: The revision of the last change of each, and who was reported as alive.
-        self._changed: dict[str, int] = {}
+        #: The revision of the last change of each instance, and those last reported as
+        #: alive.
+        self._revision_by_name: dict[str, int] = {}
         self._reported_alive: frozenset[str] = frozenset()
-        #: Start times of those that must be dialled to hear anything.
+        #: Start times of the instances that only receive on links that others dial.
         self._needs_dialling: dict[str, int] = {}
-        #: Those that a hub reported, and as of when its reports on each data centre
-        #: hold.
+        #: Instances reported by a hub, and the time up to which its reports confirm
+        #: each data centre.
         self._reported: dict[str, Member] = {}
         self._confirmed_at: dict[str, float] = {}
 
     def merge_members(
         self, identities: Iterable[InstanceIdentity], *, now: float
     ) -> None:
-        """Learn of instances; a later start of one replaces an earlier one."""
+        """Add instances; a later start of an instance replaces an earlier one."""
         for item in identities:
             known = self._members.get(item.name)
             if item.name == self._own.name:
                 continue
             if known is None or item.boot > known.identity.boot:
-                self._put(Member(identity=item, state=None, heard_at=now, noted_at=now))
+                self._set_member(
+                    Member(identity=item, state=None, heard_at=now, noted_at=now)
+                )
 
     def merge_heartbeat(self, heartbeat: Heartbeat, *, now: float) -> None:
-        """Take in a heartbeat; one of an earlier start says nothing."""
+        """Merge a heartbeat; one of an earlier start is ignored."""
         name = heartbeat.sender.name
         known = self._members.get(name)
         is_older = known is not None and heartbeat.sender.boot < known.identity.boot
@@ -164,7 +164,7 @@
             is_leaving=heartbeat.is_leaving,
             is_store_reachable=heartbeat.is_store_reachable,
         )
-        self._put(
+        self._set_member(
             Member(
                 identity=heartbeat.sender,
                 state=state,
@@ -174,10 +174,10 @@
             )
         )
 
-    def merge_data_centre(self, news: DataCentreReport, *, now: float) -> bool:
-        """Take in a hub's word; return whether it tells of instances not known here."""
+    def merge_data_centre(self, report: DataCentreReport, *, now: float) -> bool:
+        """Merge a hub's report; return whether it has instances unknown here."""
         has_unknown = False
-        for item in news.instances:
+        for item in report.instances:
             known = self._members.get(item.name)
             if item.name == self._own.name:
                 continue
@@ -192,7 +192,7 @@
                 is_leaving=item.is_leaving,
                 is_store_reachable=item.is_store_reachable,
             )
-            self._put(
+            self._set_member(
                 Member(
                     identity=known.identity,
                     state=state if item.is_alive else None,
@@ -204,9 +204,9 @@
         return has_unknown
 
     def merge_fleet(self, report: FleetReport, *, now: float) -> None:
-        """Take in what a hub reports of all instances.
+        """Merge a hub's report on the fleet.
 
-        What was heard of an instance on a link of its own goes before.
+        The state of an instance that was heard on a link of its own takes precedence.
         """
         if report.is_full:
             listed = {item.identity.name for item in report.members}
@@ -234,7 +234,7 @@
             self._confirmed_at[age.data_centre] = max(known_at, at)
 
     def _merge_reported(self, member: Member, now: float) -> None:
-        """Take in what a hub knows of an instance; it counts where nothing is heard."""
+        """Merge the reported state of an instance, which applies unless it is heard."""
         name = member.identity.name
         known = self._members.get(name)
         if known is not None and known.identity.boot > member.identity.boot:
@@ -243,10 +243,10 @@
         is_same_start = known is not None and known.identity == member.identity
         if is_same_start and known.is_direct and now <= known.heard_at + self.fresh_s:
             return
-        self._put(member)
+        self._set_member(member)
 
-    def _fall_back(self, now: float) -> None:
-        """What hubs reported counts for those that are not heard directly any more."""
+    def _apply_reported(self, now: float) -> None:
+        """Apply the reported states of instances that are no longer heard directly."""
         for name, member in list(self._members.items()):
             reported = self._reported.get(name)
             is_silent = member.state is None or now > member.heard_at + self.fresh_s
@@ -256,36 +256,36 @@
                 and is_silent
                 and reported.identity == member.identity
             ):
-                self._put(replace(reported, noted_at=member.noted_at))
+                self._set_member(replace(reported, noted_at=member.noted_at))
 
     def leave_hubs(self) -> None:
-        """Count on what is heard directly: this instance follows no hub any more."""
+        """Drop what hubs reported, as this instance subscribes to none any more."""
         self._reported.clear()
 
     def report_changes(self, *, after: int, now: float) -> tuple[MemberReport, ...]:
-        """Return what is known of the instances that changed after a revision."""
-        fresh = self._find_fresh(now)
+        """Return the reports on the instances that changed after a revision."""
+        fresh = self._update_fresh(now)
         return tuple(
             _report_to_subscriber(self._members[name], is_fresh=name in fresh)
-            for name, revision in self._changed.items()
+            for name, revision in self._revision_by_name.items()
             if revision > after and name in self._members
         )
 
-    def _find_fresh(self, now: float) -> Mapping[str, float]:
-        """Return who was heard lately; who fell silent has changed by that."""
+    def _update_fresh(self, now: float) -> Mapping[str, float]:
+        """Return the fresh instances; record a change of those that became silent."""
         fresh = self._find_view(now).fresh
         if fresh.keys() != self._reported_alive:
             for name in fresh.keys() ^ self._reported_alive:
-                self._note_changed(name)
+                self._record_change(name)
             self._reported_alive = frozenset(fresh)
         return fresh
 
-    def _note_changed(self, name: str) -> None:
+    def _record_change(self, name: str) -> None:
         self.revision += 1
-        self._changed[name] = self.revision
+        self._revision_by_name[name] = self.revision
 
     def report_ages(self, *, now: float) -> tuple[DataCentreAge, ...]:
-        """Return for how long nothing was heard of each data centre."""
+        """Return the time since each data centre was last heard."""
         heard_at: dict[str, float] = {self._own.data_centre: now}
         for member in self._members.values():
             centre = member.identity.data_centre
@@ -297,7 +297,7 @@
         )
 
     def note_dialling(self, name: str, boot: int, *, is_needed: bool) -> None:
-        """Note whether an instance hears others only on links that they dial."""
+        """Record whether an instance only receives on links that others dial."""
         if is_needed == (self._needs_dialling.get(name) == boot):
             return
         if is_needed:
@@ -309,7 +309,7 @@
     def report_members(
         self, data_centre: str, *, now: float
     ) -> tuple[InstanceReport, ...]:
-        """Return what is known of the other instances of a data centre."""
+        """Return the reports on the other instances of a data centre."""
         fresh = self._find_view(now).fresh
         return tuple(
             _report_member(member, is_fresh=member.identity.name in fresh, now=now)
@@ -317,12 +317,12 @@
             if member.identity.data_centre == data_centre
         )
 
-    def _put(self, member: Member) -> None:
+    def _set_member(self, member: Member) -> None:
         known = self._members.get(member.identity.name)
         self._members[member.identity.name] = member
         is_same = known is not None and known.identity == member.identity
         if not is_same:
-            self._forget_counts()
+            self._invalidate_counts()
         elif (
             known.state != member.state
             or known.is_direct != member.is_direct
@@ -330,16 +330,16 @@
         ):
             self._cached_view = None
         if not is_same or known.state != member.state:
-            self._note_changed(member.identity.name)
+            self._record_change(member.identity.name)
 
-    def _forget_counts(self) -> None:
-        """What is counted over all instances is counted anew when it is asked for.
+    def _invalidate_counts(self) -> None:
+        """Discard what is computed over all instances, until it is next used.
 
-        Guards against counting it for each heartbeat on each link, which took a tenth
-        of an instance's calls in a large fleet; who is known changes rarely.
+        To compute it for each heartbeat on each link took a tenth of an instance's
+        calls in a large fleet, while the known instances rarely change.
         """
-        self._nearby = None
-        self._centres = None
+        self._nearby_count = None
+        self._centre_by_address = None
         self._cached_view = None
 
     def _is_in_view(self, member: Member) -> bool:
@@ -347,18 +347,18 @@
         return view is not None and member.identity.name in view.fresh
 
     def note_link_lost(self, name: str, *, now: float) -> None:
-        """The link that an instance dialled has ended; it is silent until it dials.
+        """Mark an instance whose link has ended as silent until it is heard again.
 
-        Guards against a killed instance that stays in the lookup for several
-        heartbeats; its callers connect in vain meanwhile.
+        A killed instance would otherwise stay in the lookup for several heartbeats, and
+        callers would fail to connect to it.
         """
         known = self._members.get(name)
         if known is not None:
-            self._put(replace(known, state=None, noted_at=now))
+            self._set_member(replace(known, state=None, noted_at=now))
 
     @property
     def is_large(self) -> bool:
-        """Whether there are so many instances that not all are linked to all."""
+        """Whether there are too many instances for a full mesh."""
         return len(self._members) >= FULL_MESH
 
     @property
@@ -368,7 +368,7 @@
 
     @property
     def heartbeat_interval_s(self) -> float:
-        """Seconds between two heartbeats on a link, while requests run here."""
+        """Seconds between two heartbeats on a link while requests are in flight."""
         linked = len(self._members)
         if linked >= FULL_MESH:
             linked = self._count_nearby()
@@ -378,22 +378,24 @@
 
     @property
     def idle_interval_s(self) -> float:
-        """Seconds between two heartbeats on a link, while no request runs here."""
+        """Seconds between two heartbeats on a link while no request is in flight."""
         return (
             IDLE_SUBSCRIBER_INTERVAL_S if self.has_hubs else self.heartbeat_interval_s
         )
 
     def _count_nearby(self) -> int:
-        """Return how many others there are in the own data centre."""
-        if self._nearby is None:
+        """Return the number of other instances in the own data centre."""
+        if self._nearby_count is None:
             own_centre = self._own.data_centre
             members = self._members.values()
-            self._nearby = sum(m.identity.data_centre == own_centre for m in members)
-        return self._nearby
+            self._nearby_count = sum(
+                m.identity.data_centre == own_centre for m in members
+            )
+        return self._nearby_count
 
     @property
     def fresh_s(self) -> float:
-        """Seconds after which an instance that is not heard counts as silent."""
+        """Seconds without a heartbeat after which an instance counts as silent."""
         return max(FRESH_S, _MAX_MISSED_HEARTBEATS * self.idle_interval_s)
 
     def has_ended(self, name: str, boot: int) -> bool:
@@ -404,16 +406,18 @@
         return known is not None and boot < known.identity.boot
 
     def find_data_centre(self, peer_address: str) -> str | None:
-        """Return where the instance at a peer address stands, `None` if unknown."""
-        if self._centres is None:
-            self._centres = {}
+        """Return the data centre of a peer address, `None` if it is unknown."""
+        if self._centre_by_address is None:
+            self._centre_by_address = {}
             for member in self._members.values():
                 identity = member.identity
-                self._centres.setdefault(identity.peer_address, identity.data_centre)
-        return self._centres.get(peer_address)
+                self._centre_by_address.setdefault(
+                    identity.peer_address, identity.data_centre
+                )
+        return self._centre_by_address.get(peer_address)
 
     def find_address(self, name: str) -> str:
-        """Return the peer address of an instance, empty if it is not known."""
+        """Return the peer address of an instance, empty if it is unknown."""
         known = self._members.get(name)
         return "" if known is None else known.identity.peer_address
 
@@ -426,11 +430,11 @@
         return view
 
     def _make_view(self, now: float) -> _View:
-        self._fall_back(now)
+        self._apply_reported(now)
         direct_s = self.fresh_s
         indirect_s = direct_s + _HUB_HOPS * DATA_CENTRE_REPORT_INTERVAL_S
         ends = {
-            name: self._find_heard_at(member)
+            name: self._find_confirmed_at(member)
             + (direct_s if member.is_direct else indirect_s)
             for name, member in self._members.items()
             if member.state is not None
@@ -472,27 +476,27 @@
             ),
         )
 
-    def _find_heard_at(self, member: Member) -> float:
-        """Return as of when what is known of an instance holds."""
+    def _find_confirmed_at(self, member: Member) -> float:
+        """Return the time up to which the state of an instance is confirmed."""
         if member.is_direct:
             return member.heard_at
         centre = member.identity.data_centre
         return max(member.heard_at, self._confirmed_at.get(centre, float("-inf")))
 
     def list_nodes(self, *, now: float) -> tuple[Node, ...]:
-        """Return all others as far as links are concerned."""
+        """Return all other instances, as input of the choice of links."""
         return self._find_view(now).nodes
 
     def list_acting(self, *, now: float) -> tuple[str, ...]:
-        """Return the names of others that may act for all, in order."""
+        """Return the names of other instances that may act for the fleet, in order."""
         return self._find_view(now).acting
 
     def list_presumed(self, *, now: float) -> tuple[str, ...]:
-        """Return those as well that were told of just now and not heard yet."""
+        """Return the same names, with new instances that were not heard yet."""
         return self._find_view(now).presumed
 
     def list_links(self, *, may_be_hub: bool, now: float) -> frozenset[str]:
-        """Return the peer addresses that this instance keeps links to."""
+        """Return the peer addresses that this instance maintains links to."""
         nodes, key = self.list_nodes(now=now), (may_be_hub, int(now / TURN_S))
         if key not in self._links:
             names = choose_links(self._make_own_node(may_be_hub), nodes, turn=key[1])
@@ -502,7 +506,10 @@
         return self._links[key]
 
     def list_subscriptions(self, *, now: float) -> tuple[str, ...]:
-        """Return the peer addresses of the hubs to follow, first who reports."""
+        """Return the peer addresses of the hubs to subscribe to.
+
+        The first one sends fleet reports.
+        """
         return self._find_view(now).subscriptions
 
     def is_hub(self, *, may_be_hub: bool, now: float) -> bool:
@@ -522,16 +529,16 @@
         )
 
     def has_duty(self, name: str, *, now: float) -> bool:
-        """Return whether an instance acts for others: a hub, a reader, the holder."""
+        """Return whether an instance has duties for the fleet, which hubs have."""
         return self.is_large and name in self._find_view(now).hubs
 
     def is_first_nearby(self, *, now: float) -> bool:
-        """Return whether this instance is the first by name of its data centre."""
+        """Return whether this instance is the first by name in its data centre."""
         nodes = [*self.list_nodes(now=now), self._make_own_node(True)]
         return choose_hubs(nodes, self._own.data_centre)[0] == self._own.name
 
     def sees_slow_streams(self, *, now: float) -> bool:
-        """Return whether an instance of this data centre has slow streams."""
+        """Return whether streams of an instance here indicate a slow target."""
         return any(
             member.sees_slow_streams
             for member in self.list_fresh(now=now)
@@ -548,31 +555,31 @@
         return frozenset(m.identity.data_centre for m in self._members.values())
 
     def forget_silent(self, *, now: float) -> None:
-        """Drop instances that were silent for long."""
+        """Remove the instances that have been silent for `FORGET_S`."""
         for name, member in list(self._members.items()):
-            if now - self._find_heard_at(member) > FORGET_S:
+            if now - self._find_confirmed_at(member) > FORGET_S:
                 del self._members[name]
-                self._changed.pop(name, None)
+                self._revision_by_name.pop(name, None)
                 self._reported.pop(name, None)
                 self._needs_dialling.pop(name, None)
-                self._forget_counts()
+                self._invalidate_counts()
                 self.revision += 1
 
     def list_all(self) -> list[Member]:
-        """Return all that are known, silent ones included."""
+        """Return all known instances, including silent ones."""
         return list(self._members.values())
 
     def list_fresh(self, *, now: float) -> list[Member]:
-        """Return those that were heard lately."""
+        """Return the instances that were heard lately."""
         return [self._members[name] for name in self._find_view(now).fresh]
 
     def list_ready(self, *, now: float) -> list[Member]:
-        """Return those that callers may be sent to."""
+        """Return the instances that callers may be sent to."""
         fresh = self.list_fresh(now=now)
         return [m for m in fresh if m.state.is_ready and not m.state.is_leaving]
 
     def count_instances(self, *, now: float) -> int:
-        """Return how many instances serve, this one included."""
+        """Return the number of live instances, including this one."""
         return 1 + len(self._find_view(now).fresh)
 
 
--- a/packages/router/fulmarward_router/mesh/_messages.py
+++ b/packages/router/fulmarward_router/mesh/_messages.py
@@ -1,35 +1,34 @@
-"""The messages between instances. Field names do not travel, their order does."""
+"""The messages between instances. They are encoded by position, without names."""
 
 from fulmarward_core.codec import Message
 
 
 class InstanceIdentity(Message, kw_only=True):
-    """An instance as others should know it."""
+    """The name, start time and addresses of an instance."""
 
-    #: Name, and when its process started in ms since 1970.
     name: str
+    #: When its process started, in ms since 1970.
     boot: int
-    #: Where it stands and can be reached.
     data_centre: str
     peer_address: str
     caller_address: str
 
 
 class LoadReport(Message, kw_only=True):
-    """What the sender's requests take at one target."""
+    """The load of the sender's requests on one target."""
 
     target: str
-    #: KV cache, tokens times layers.
+    #: KV cache in use, in tokens times layers.
     kv: int
     running: int
     first_running: int
 
 
 class FailureReport(Message, kw_only=True):
-    """A target that did not answer the sender."""
+    """A target that failed to answer the sender."""
 
     target: str
-    #: For how much longer the sender leaves it out, in ms.
+    #: Milliseconds for which the sender still excludes it.
     for_ms: int
 
 
@@ -37,50 +36,49 @@
     """A target that is slow."""
 
     target: str
-    #: Factor on its times, in hundredths.
+    #: The factor by which it is slower, in percent.
     percent: int
-    #: Milliseconds since its report was read.
+    #: Milliseconds since the target reported it.
     age_ms: int
 
 
 class Heartbeat(Message, kw_only=True):
-    """A heartbeat: how the sender is, what it knows, and what it takes."""
+    """The state of the sender, the versions that it has, and its loads."""
 
     sender: InstanceIdentity
-    #: Whether it may be given to callers.
+    #: Whether callers may be sent to it.
     is_ready: bool
     #: Whether it is stopping.
     is_leaving: bool
-    #: Version of the configuration in force there, and when that was last confirmed
-    #: by the store, in ms ago (-1: never).
+    #: Version of the configuration in force there, and ms since the store last
+    #: confirmed it (-1: never).
     configuration_version: int
     configuration_age_ms: int
-    #: Version of the store after which it knows of no change of the targets, and ms
-    #: since that was confirmed.
+    #: Version of the store up to which it has all changes of targets, and ms since that
+    #: was confirmed (-1: never).
     targets_version: int
     targets_age_ms: int
-    #: Whether the store answers it.
     is_store_reachable: bool
-    #: Its load, by target.
+    #: Its loads, one for each target.
     loads: tuple[LoadReport, ...]
-    #: Targets that it lost.
+    #: Targets that failed to answer it.
     losses: tuple[FailureReport, ...]
-    #: Targets that it believes to be leaving: they refuse although they have room.
+    #: Targets that it presumes to be leaving: they refuse although they have capacity.
     refusing: tuple[str, ...]
-    #: Whether streams there look as if a target were slow, and which are.
+    #: Whether its streams indicate a slow target, and the targets known to be slow.
     sees_slow_streams: bool
     paces: tuple[PaceReport, ...]
 
 
 class InstanceReport(Message, kw_only=True):
-    """What the sender last heard of another instance."""
+    """What a hub last heard of an instance."""
 
-    #: Name, and when its process started in ms since 1970.
     name: str
+    #: When its process started, in ms since 1970.
     boot: int
-    #: Milliseconds since the sender last heard of it, or lost its link.
+    #: Milliseconds since the sender last heard of it or lost its link.
     age_ms: int
-    #: Whether it lives, as far as known; the rest says nothing otherwise.
+    #: Whether it is considered alive; the other flags are meaningless otherwise.
     is_alive: bool
     #: What its last heartbeat said.
     is_ready: bool
@@ -89,44 +87,41 @@
 
 
 class DataCentreReport(Message, kw_only=True):
-    """The instances of a data centre and what they take, told by a hub."""
+    """A hub's report on the instances and loads of a data centre."""
 
-    #: Name of the data centre.
     data_centre: str
-    #: Its instances.
     instances: tuple[InstanceReport, ...]
-    #: Load of all of them together, by target.
+    #: Their total load on each target.
     loads: tuple[LoadReport, ...]
-    #: Slow targets there.
     paces: tuple[PaceReport, ...]
 
 
 class FetchInstances(Message, kw_only=True):
-    """Ask for all instances that are known; answered by `Introduction`."""
+    """Requests the instances that the peer knows; answered by `Introduction`."""
 
 
 class Introduction(Message, kw_only=True):
-    """The sender, and the instances that it tells of; first message on a link."""
+    """The sender and the instances that it knows; the first message on a link."""
 
     sender: InstanceIdentity
     known: tuple[InstanceIdentity, ...]
 
 
 class FetchConfiguration(Message, kw_only=True):
-    """Ask for the configuration if it is newer than the sender's.
+    """Requests the configuration if it is newer than the sender's.
 
-    For peers that have not said that they understand `FetchCompressedConfiguration`.
+    For peers that have not sent `SupportsCompression`.
     """
 
     version: int
 
 
 class RowSnapshot(Message, kw_only=True):
-    """A row of the store as it was read there."""
+    """A row as it was read from the store."""
 
     key: str
     version: int
-    #: Its bytes, or `None` when it was removed.
+    #: `None` if the row was deleted.
     value: bytes | None
 
 
@@ -137,17 +132,16 @@
 
 
 class SupportsCompression(Message, kw_only=True):
-    """The sender accepts compressed configurations; sent on each link it dials."""
+    """The sender answers `FetchCompressedConfiguration`; sent on each link it dials."""
 
-    #: Name of the sender, and when its process started in ms since 1970.
     sender: str
+    #: When its process started, in ms since 1970.
     boot: int
 
 
 class FetchCompressedConfiguration(Message, kw_only=True):
-    """Ask for the configuration, packed, if it is newer than the sender's."""
+    """Requests the compressed configuration if it is newer than the sender's."""
 
-    #: Name of who asks.
     sender: str
     version: int
 
@@ -157,30 +151,30 @@
 
     key: str
     version: int
-    #: Its bytes, packed, or `None` when it was removed.
+    #: The compressed value, `None` if the row was deleted.
     packed: bytes | None
 
 
 class ConfigurationReceived(Message, kw_only=True):
-    """The row has come here, whether or not it can be read."""
+    """Acknowledges a `CompressedConfiguration`, whether or not it can be decoded."""
 
     sender: str
 
 
 class ConfigurationDeferred(Message, kw_only=True):
-    """The row goes to others first: ask elsewhere, or later."""
+    """The sender is sending to other peers: ask another one, or later."""
 
     sender: str
 
 
 class FetchTargets(Message, kw_only=True):
-    """Ask for the targets' rows changed since a version of the store."""
+    """Requests the rows of targets that changed after a version of the store."""
 
     after: int
 
 
 class TargetChanges(Message, kw_only=True):
-    """Rows of targets changed between two versions of the store."""
+    """The rows of targets that changed between two versions of the store."""
 
     after: int
     version: int
@@ -190,34 +184,34 @@
 
 
 class Subscription(Message, kw_only=True):
-    """Ask for heartbeats on a link that the sender dialled; sent on each of them.
+    """Says what the sender wants to receive on a link; sent on each link it dials.
 
-    Whoever sends it need not be dialled. A later one on the same link replaces it.
+    Its sender need not be dialled. A later one on the same link replaces it.
     """
 
-    #: Name of the sender, and when its process started in ms since 1970.
     sender: str
+    #: When its process started, in ms since 1970.
     boot: int
-    #: Whether heartbeats are to come back on the link, and whether with reports on the
-    #: fleet, of which the first one is full.
+    #: Whether the peer sends heartbeats on the link, and whether as fleet reports, of
+    #: which the first one is full.
     wants_heartbeats: bool
     wants_reports: bool
 
 
 class LoadUpdate(Message, kw_only=True):
-    """The sender's own loads, for a hub."""
+    """The loads of the sender, for a hub."""
 
     sender: str
-    #: Rises with each update, over restarts as well.
+    #: Increases with each update, also across restarts.
     sequence: int
     loads: tuple[LoadReport, ...]
 
 
 class MemberReport(Message, kw_only=True):
-    """An instance as a hub knows it."""
+    """The state of an instance in a hub's fleet report."""
 
     identity: InstanceIdentity
-    #: Whether it lives, as far as known; the rest says nothing otherwise.
+    #: Whether it is considered alive; the other flags are meaningless otherwise.
     is_alive: bool
     is_ready: bool
     is_leaving: bool
@@ -225,50 +219,49 @@
 
 
 class DataCentreAge(Message, kw_only=True):
-    """For how long a hub has had no news of a data centre."""
+    """The time since a hub last heard of a data centre."""
 
     data_centre: str
     age_ms: int
 
 
 class IncludedUpdate(Message, kw_only=True):
-    """The newest load update of an instance that a hub has added up."""
+    """The newest load update of an instance that a hub's loads include."""
 
     instance: str
     sequence: int
 
 
 class FleetReport(Message, kw_only=True):
-    """What a hub knows of the fleet; sent to its subscribers in place of heartbeats."""
+    """A hub's report on the fleet; sent in place of heartbeats to its subscribers."""
 
     #: The hub's own heartbeat, without loads.
     heartbeat: Heartbeat
-    #: Whether all is listed, or only what changed since the last report on the link.
+    #: Whether it is complete, or only has the changes since the last one on the link.
     is_full: bool
     members: tuple[MemberReport, ...]
-    #: Instances that are not listed are as they were reported, as of this age.
+    #: The age for each data centre; instances that are not listed are unchanged.
     ages: tuple[DataCentreAge, ...]
-    #: Load of all instances together, by target; a target without load has zeros.
+    #: Total load of all instances on each target; zeros for one without load.
     loads: tuple[LoadReport, ...]
     included: tuple[IncludedUpdate, ...]
-    #: Targets that instances of the data centre lost, and that they believe to be
-    #: leaving.
+    #: Targets that failed to answer instances of the data centre, and those that these
+    #: presume to be leaving.
     losses: tuple[FailureReport, ...]
     refusing: tuple[str, ...]
 
 
 class FleetLoads(Message, kw_only=True):
-    """The loads that changed since a hub's last report on the link."""
+    """The loads that changed since the last report of a hub on the link."""
 
-    #: Name of the hub.
     sender: str
     loads: tuple[LoadReport, ...]
     included: tuple[IncludedUpdate, ...]
 
 
-#: All messages; a message's number is its place. A kind keeps its number and its
-#: fields: instances of other code read it while they are replaced one by one. What
-#: changes is a new kind at the end, which older code leaves unread.
+#: All messages; the number of a message on the wire is its index here. A message keeps
+#: its number and its fields, as instances of different releases exchange it during a
+#: rolling update. A change is a new message at the end, which older releases ignore.
 MESSAGES = (
     Heartbeat,
     Introduction,
--- a/packages/router/fulmarward_router/mesh/tests/test_heartbeats.py
+++ b/packages/router/fulmarward_router/mesh/tests/test_heartbeats.py
@@ -79,11 +79,11 @@
     def make_target_changes(self, after):
         return None
 
-    def make_fleet_report(self, told):
+    def make_fleet_report(self, known):
         self.reports += 1
         report = FleetReport(
             heartbeat=make_heartbeat("own"),
-            is_full=told == Revisions(),
+            is_full=known == Revisions(),
             members=(),
             ages=(),
             loads=(),
@@ -239,7 +239,10 @@
         connections = [_Connection() for _ in range(20)]
         for connection in connections:
             link = PeerLink(
-                connection=connection, address="", is_dialled=False, told=Revisions()
+                connection=connection,
+                address="",
+                is_dialled=False,
+                subscriber_revisions=Revisions(),
             )
             self.sender.add(link)
         self._start()
@@ -255,7 +258,7 @@
     async def test_loads_go_to_a_hub_while_there_are_any_and_once_when_none_are(self):
         """Guards against loads that stay at a hub, or are sent though nothing runs."""
         (connection,) = self._open(1)
-        self.sender.list_links()[0].takes_updates = True
+        self.sender.list_links()[0].expects_load_updates = True
         self.state.loads = (LoadReport(target="t", kv=1, running=1, first_running=1),)
         self._start()
         await self._await_heartbeats([connection], 3)
@@ -270,16 +273,19 @@
         """Guards against instances that plan with loads as old as a heartbeat."""
         hub, busy, idle = (_Connection() for _ in range(3))
         links = [
-            PeerLink(connection=hub, address="", takes_updates=True),
+            PeerLink(connection=hub, address="", expects_load_updates=True),
             PeerLink(
                 connection=busy,
                 address="",
                 is_dialled=False,
-                told=Revisions(loads=0),
+                subscriber_revisions=Revisions(loads=0),
                 is_busy=True,
             ),
             PeerLink(
-                connection=idle, address="", is_dialled=False, told=Revisions(loads=0)
+                connection=idle,
+                address="",
+                is_dialled=False,
+                subscriber_revisions=Revisions(loads=0),
             ),
         ]
         self.sender._links = links
