--- a/packages/router/fulmarward_router/mesh/tests/test_heartbeats.py
+++ b/packages/router/fulmarward_router/mesh/tests/test_heartbeats.py
@@ -23,7 +23,7 @@
 
 
 class _Connection:
-    """A connection that notes what is written on it."""
+    """A connection that records what is written to it."""
 
     def __init__(self):
         self.protocol = mock.Mock(state=State.OPEN)
@@ -32,7 +32,7 @@
         self.transport.get_write_buffer_size.return_value = 0
         self.send_in_progress = None
         self.sent = []
-        #: Pings without an answer.
+        #: The future of each ping's pong.
         self.pings = []
         self.answers_pings = True
 
@@ -54,13 +54,13 @@
     """Makes heartbeats and reports, and counts the heartbeats."""
 
     def __init__(self):
-        self.made = 0
+        self.heartbeats = 0
         self.reports = 0
         self.loads = ()
         self.loads_revision = 0
 
     def make_heartbeat(self, *, has_loads=True):
-        self.made += 1
+        self.heartbeats += 1
         return make_heartbeat("own")
 
     def has_loads(self):
@@ -115,9 +115,9 @@
 
     def _open(self, count):
         connections = [_Connection() for _ in range(count)]
-        for place, connection in enumerate(connections):
+        for index, connection in enumerate(connections):
             self.sender.add(
-                PeerLink(connection=connection, address=f"10.0.0.{place}:1")
+                PeerLink(connection=connection, address=f"10.0.0.{index}:1")
             )
         return connections
 
@@ -132,15 +132,15 @@
                 await asyncio.sleep(0.005)
 
     async def test_round_takes_one_task_and_one_encoding_for_all_links(self):
-        """Guards against a task and a wait for each link of a large fleet."""
+        """Guards against a task and a timer for each link of a large fleet."""
         connections = self._open(30)
-        self.assertEqual(self.state.made, 1)
+        self.assertEqual(self.state.heartbeats, 1)
         running = self._start()
         await self._await_heartbeats(connections, 2)
-        self.assertEqual(self.state.made, 2)
+        self.assertEqual(self.state.heartbeats, 2)
         self.assertEqual(asyncio.all_tasks(), {asyncio.current_task(), running})
 
-    async def test_round_begins_with_a_change_and_with_time(self):
+    async def test_round_starts_after_a_change_or_an_interval(self):
         with mock.patch.object(
             MemberTable, "heartbeat_interval_s", new_callable=mock.PropertyMock
         ) as interval:
@@ -157,7 +157,7 @@
                     await self._await_heartbeats(connections, 3)
                     running.cancel()
 
-    async def test_change_begins_one_round_and_not_the_next(self):
+    async def test_change_starts_a_single_round(self):
         connections = self._open(1)
         with mock.patch.object(
             MemberTable, "heartbeat_interval_s", new_callable=mock.PropertyMock
@@ -183,58 +183,60 @@
             self.sender.notify()
             await self._await_heartbeats(connections, 3)
 
-    async def test_saturated_link_gets_the_next_heartbeat_once_it_has_drained(self):
-        """Guards against heartbeats that pile up on a link that is full."""
-        full, free = self._open(2)
-        full.transport.get_write_buffer_size.return_value = MAX_UNSENT_BYTES + 1
+    async def test_saturated_link_gets_a_heartbeat_after_it_has_drained(self):
+        """Guards against heartbeats that accumulate on a saturated link."""
+        saturated, other = self._open(2)
+        saturated.transport.get_write_buffer_size.return_value = MAX_UNSENT_BYTES + 1
         self._start()
-        await self._await_heartbeats([free], 4)
-        self.assertEqual(full.count(Heartbeat), 1)
-        full.transport.get_write_buffer_size.return_value = 0
-        await self._await_heartbeats([full], 2)
+        await self._await_heartbeats([other], 4)
+        self.assertEqual(saturated.count(Heartbeat), 1)
+        saturated.transport.get_write_buffer_size.return_value = 0
+        await self._await_heartbeats([saturated], 2)
 
-    async def test_closed_link_gets_nothing_and_ends_no_round(self):
-        closed, free = self._open(2)
+    async def test_closed_link_gets_nothing_and_does_not_stop_a_round(self):
+        closed, other = self._open(2)
         closed.protocol.state = State.CLOSED
         self._start()
-        await self._await_heartbeats([free], 3)
+        await self._await_heartbeats([other], 3)
         self.assertEqual(closed.count(Heartbeat), 1)
 
-    async def test_link_on_which_pings_get_no_answer_is_ended(self):
-        """Guards against a connection that fell silent without a reset."""
-        silent, sound = self._open(2)
+    async def test_link_without_a_pong_is_aborted(self):
+        """Guards against a connection that becomes silent without a reset."""
+        silent, healthy = self._open(2)
         silent.answers_pings = False
         self._start()
         async with asyncio.timeout(10.0):
             while not silent.transport.abort.called:
                 await asyncio.sleep(0.01)
         self.assertEqual(len(silent.pings), 1)
-        self.assertGreater(len(sound.pings), 1)
-        self.assertFalse(sound.transport.abort.called)
+        self.assertGreater(len(healthy.pings), 1)
+        self.assertFalse(healthy.transport.abort.called)
 
-    async def test_link_whose_bytes_stay_unsent_is_ended(self):
-        """Guards against a silent link that is full, so that no ping is sent on it."""
-        (full,) = self._open(1)
-        full.transport.get_write_buffer_size.return_value = MAX_UNSENT_BYTES + 1
+    async def test_link_that_stays_saturated_is_aborted(self):
+        """Guards against a silent link that gets no ping as it is saturated."""
+        (saturated,) = self._open(1)
+        saturated.transport.get_write_buffer_size.return_value = MAX_UNSENT_BYTES + 1
         self._start()
         async with asyncio.timeout(10.0):
-            while not full.transport.abort.called:
+            while not saturated.transport.abort.called:
                 await asyncio.sleep(0.01)
-        self.assertEqual(full.pings, [])
+        self.assertEqual(saturated.pings, [])
 
-    async def test_hub_reports_its_data_centre_to_others_and_others_at_home(self):
-        near = replace(self.own, name="near", peer_address="10.0.0.0:1")
-        far = replace(near, name="far", data_centre="far", peer_address="10.0.0.1:1")
-        self.members.merge_members([near, far], now=0.0)
+    async def test_hub_reports_its_data_centre_to_others_and_others_to_its_own(self):
+        nearby = replace(self.own, name="near", peer_address="10.0.0.0:1")
+        remote = replace(
+            nearby, name="far", data_centre="far", peer_address="10.0.0.1:1"
+        )
+        self.members.merge_members([nearby, remote], now=0.0)
         self.sender.is_hub = True
-        home, away = self._open(2)
+        to_nearby, to_remote = self._open(2)
         reported = [
             [m.data_centre for m in item.sent if isinstance(m, DataCentreReport)]
-            for item in (home, away)
+            for item in (to_nearby, to_remote)
         ]
         self.assertEqual(reported, [["far"], [self.own.data_centre]])
 
-    async def test_subscriber_gets_a_full_report_first_and_then_what_changed(self):
+    async def test_subscriber_gets_a_full_report_first_and_then_changes(self):
         """Guards against reports that grow with the fleet instead of its changes."""
         connections = [_Connection() for _ in range(20)]
         for connection in connections:
@@ -255,8 +257,8 @@
             self.assertEqual(connection.pings, [])
         self.assertLess(self.state.reports, 8)
 
-    async def test_loads_go_to_a_hub_while_there_are_any_and_once_when_none_are(self):
-        """Guards against loads that stay at a hub, or are sent though nothing runs."""
+    async def test_hub_gets_loads_while_there_are_any_and_once_when_none(self):
+        """Guards against stale loads at a hub, and against updates while idle."""
         (connection,) = self._open(1)
         self.sender.list_links()[0].expects_load_updates = True
         self.state.loads = (LoadReport(target="t", kv=1, running=1, first_running=1),)
@@ -269,8 +271,8 @@
         self.assertEqual([bool(loads) for loads in sent].count(False), 1)
         self.assertEqual(sent[-1], ())
 
-    async def test_loads_that_change_are_sent_between_the_rounds(self):
-        """Guards against instances that plan with loads as old as a heartbeat."""
+    async def test_changed_loads_are_sent_between_the_rounds(self):
+        """Guards against routing decisions on loads as old as a heartbeat."""
         hub, busy, idle = (_Connection() for _ in range(3))
         links = [
             PeerLink(connection=hub, address="", expects_load_updates=True),
--- a/packages/router/fulmarward_router/mesh/tests/test_links.py
+++ b/packages/router/fulmarward_router/mesh/tests/test_links.py
@@ -22,16 +22,16 @@
 
 
 class _Link:
-    """A link on which `messages` come before it ends, in order or broken.
+    """A link that receives `messages` and then closes, or breaks if `is_broken`.
 
-    Nothing can be sent on it if there is a `send_error`.
+    Sending on it raises `send_error` if there is one.
     """
 
     remote_address = ("10.0.0.1", 1)
 
-    def __init__(self, messages, steps, *, is_broken, send_error):
+    def __init__(self, messages, calls, *, is_broken, send_error):
         self._messages = messages
-        self._steps = steps
+        self._calls = calls
         self._is_broken = is_broken
         self._send_error = send_error
 
@@ -44,92 +44,92 @@
     async def send(self, data):
         if self._send_error is not None:
             raise self._send_error
-        self._steps.append(decode_message(data))
+        self._calls.append(decode_message(data))
 
 
 class _State:
-    """Notes what the mesh gives to the instance, in order."""
+    """Records the calls that the mesh makes, in order."""
 
-    def __init__(self, steps):
-        self._steps = steps
+    def __init__(self, calls):
+        self._calls = calls
 
     def merge_heartbeat(self, heartbeat):
         return [FetchCompressedConfiguration(sender="own", version=0)]
 
-    def answer(self, question):
+    def answer(self, fetch):
         return ConfigurationDeferred(sender="own")
 
-    def merge_snapshot(self, news):
-        self._steps.append(("taken", news))
+    def merge_snapshot(self, snapshot):
+        self._calls.append(("merged", snapshot))
 
-    def note_deferred(self, told):
-        self._steps.append(("taken", told))
+    def note_deferred(self, message):
+        self._calls.append(("merged", message))
 
-    def note_supports_compression(self, told):
-        self._steps.append(("taken", told))
+    def note_supports_compression(self, message):
+        self._calls.append(("merged", message))
 
-    def note_received(self, told):
-        self._steps.append(("taken", told))
+    def note_received(self, message):
+        self._calls.append(("merged", message))
 
     def note_link_lost(self, peer):
-        self._steps.append(("lost", peer))
+        self._calls.append(("lost", peer))
 
 
 class AcceptedLinkTest(unittest.IsolatedAsyncioTestCase):
     async def _accept(self, *messages, is_broken=False, send_error=None):
         own = make_heartbeat("own").sender
-        steps = []
+        calls = []
         mesh = Mesh(
             own=own,
             members=MemberTable(own=own),
-            state=_State(steps),
+            state=_State(calls),
             read_clock=time.monotonic,
-            count_bytes=lambda way, size: None,
+            count_bytes=lambda direction, size: None,
         )
-        link = _Link(messages, steps, is_broken=is_broken, send_error=send_error)
+        link = _Link(messages, calls, is_broken=is_broken, send_error=send_error)
         await mesh.accept(link)
-        return steps
-
-    async def test_row_is_acknowledged_before_it_is_read(self):
-        # Reading thousands of routes takes a while, in which the teller could tell the
-        # next peer.
-        heard = ConfigurationReceived(sender="own")
-        self.assertEqual(await self._accept(_ROW), [heard, ("taken", _ROW)])
-
-    async def test_row_of_the_code_before_is_taken_in_without_a_receipt(self):
-        # Its sender does not know the receipt.
-        told = RowSnapshot(key="config", version=4, value=b"x")
-        news = ConfigurationSnapshot(row=told)
-        self.assertEqual(await self._accept(news), [("taken", news)])
-
-    async def test_row_is_taken_in_though_its_receipt_finds_no_way_out(self):
-        # A small instance whose way out is full hears of a revoked key: the row has
-        # come, its receipt waits for a second, the link ends, and the row was dropped
-        # with it: the receipt was awaited before the row was taken in. The instance
-        # asked once more, and served the key meanwhile.
+        return calls
+
+    async def test_configuration_is_acknowledged_before_it_is_merged(self):
+        # Decoding thousands of routes takes a while, in which the sender could send to
+        # the next peer.
+        acknowledgement = ConfigurationReceived(sender="own")
+        self.assertEqual(await self._accept(_ROW), [acknowledgement, ("merged", _ROW)])
+
+    async def test_uncompressed_configuration_is_merged_without_acknowledgement(self):
+        # It comes from a release that does not know the acknowledgement.
+        row = RowSnapshot(key="config", version=4, value=b"x")
+        snapshot = ConfigurationSnapshot(row=row)
+        self.assertEqual(await self._accept(snapshot), [("merged", snapshot)])
+
+    async def test_configuration_is_merged_though_its_acknowledgement_fails(self):
+        # A small instance receives a configuration that revokes a key while its uplink
+        # is saturated. The acknowledgement was awaited before the merge; it timed out
+        # after a second, which closed the link and dropped the row. The instance
+        # fetched it again and accepted the key meanwhile.
         errors = (TimeoutError(), ConnectionClosedError(None, None))
         found = [await self._accept(_ROW, send_error=error) for error in errors]
-        self.assertEqual(found, [[("taken", _ROW)]] * 2)
+        self.assertEqual(found, [[("merged", _ROW)]] * 2)
 
-    async def test_what_peers_say_of_a_row_on_its_way_is_taken_in(self):
+    async def test_messages_about_transfers_are_passed_to_the_state(self):
         for message in (
             ConfigurationDeferred(sender="peer"),
             ConfigurationReceived(sender="peer"),
             SupportsCompression(sender="peer", boot=1),
         ):
             with self.subTest(message):
-                self.assertEqual(await self._accept(message), [("taken", message)])
+                self.assertEqual(await self._accept(message), [("merged", message)])
 
-    async def test_peer_that_asks_while_others_are_told_is_answered_at_once(self):
-        question = FetchCompressedConfiguration(sender="peer", version=0)
+    async def test_fetch_during_other_transfers_is_deferred_at_once(self):
+        fetch = FetchCompressedConfiguration(sender="peer", version=0)
         deferred = ConfigurationDeferred(sender="own")
-        self.assertEqual(await self._accept(question), [deferred])
+        self.assertEqual(await self._accept(fetch), [deferred])
 
-    async def test_question_does_not_outlive_its_link(self):
-        # The peer that was asked is killed, or ends a link that it does not need any
-        # more; without this the next peer would be asked a second later.
-        asked = FetchCompressedConfiguration(sender="own", version=0)
+    async def test_fetch_ends_with_its_link(self):
+        # The peer that was asked is killed, or closes a link that it does not need any
+        # more. The next peer would otherwise be asked a second later.
+        fetch = FetchCompressedConfiguration(sender="own", version=0)
         for is_broken in (False, True):
             with self.subTest(is_broken):
-                steps = await self._accept(make_heartbeat(), is_broken=is_broken)
-                self.assertEqual(steps, [asked, ("lost", "peer")])
+                calls = await self._accept(make_heartbeat(), is_broken=is_broken)
+                self.assertEqual(calls, [fetch, ("lost", "peer")])
--- a/packages/router/fulmarward_router/tests/test_configuration_spread.py
+++ b/packages/router/fulmarward_router/tests/test_configuration_spread.py
@@ -16,28 +16,28 @@
 from fulmarward_router.ports import Row
 from fulmarward_router.tests.test_knowledge import Peer
 
-#: Bytes a second of a small instance's link: 20 Mbit/s.
-_LINK = 2_500_000
+#: Bandwidth of a small instance's link in bytes per second: 20 Mbit/s.
+_LINK_BYTES_PER_S = 2_500_000
 
-#: Seconds on the way within a data centre and between two.
-_NEAR_S, _FAR_S = 0.001, 0.02
+#: Latency in seconds within a data centre and between two.
+_LATENCY_S, _REMOTE_LATENCY_S = 0.001, 0.02
 
-#: Seconds that an instance takes to read a row with all its routes.
-_READ_S = 0.15
+#: Seconds that an instance takes to decode a row with all its routes.
+_DECODE_S = 0.15
 
-#: Seconds between two heartbeats of an instance on all its links.
-_BEAT_S = 0.5
+#: Seconds between two heartbeats on a link.
+_HEARTBEAT_INTERVAL_S = 0.5
 
-#: When the store sends the new version to the instances that wait there.
-_FROM_STORE = (0.0, 0.02, 0.04, 0.06)
+#: When the store starts to send the new version to each instance that follows it.
+_STORE_SEND_TIMES_S = (0.0, 0.02, 0.04, 0.06)
 
-#: Most seconds for which anything waits for a link, beside the row from the store.
-#: Reason: a probe of a target that is answered 35 to 250 ms later takes it for lost.
-_MOST_WAIT_S = 0.1
+#: Maximum seconds for which a message may wait for a link, not counting the row from
+#: the store. A probe that is answered 35 to 250 ms later takes the target for lost.
+_MAX_WAIT_S = 0.1
 
 
-#: Seconds in which a version is to be in force everywhere.
-_IN_FORCE_S = 3.0
+#: Seconds in which a version must be in force everywhere.
+_MAX_SPREAD_S = 3.0
 
 
 class _Configuration:
@@ -51,7 +51,7 @@
 
 
 def _make_row(version, routes):
-    """Return a row as an operator's: many routes that are like each other."""
+    """Return a realistic row: many routes that resemble each other."""
     generator = random.Random(version)
     value = {
         "version": version,
@@ -73,20 +73,20 @@
 
 
 class _Fleet:
-    """Instances in data centres, with links that take their time; time is played."""
+    """Simulates instances in data centres, with links of limited bandwidth."""
 
-    def __init__(self, *, sizes, link=_LINK):
+    def __init__(self, *, sizes, link=_LINK_BYTES_PER_S):
         self.now = 0.0
-        self._link = link
+        self._bytes_per_s = link
         self.peers = []
         self.in_force = {}
         self.waited_s = 0.0
         self._events = []
         self._order = 0
         self._centres = []
-        self._free = {}
-        #: When the row from the store is through, by link.
-        self._read_at = {}
+        self._free_at = {}
+        #: When the row from the store has been received, by link.
+        self._store_row_at = {}
         for centre, size in enumerate(sizes):
             for _ in range(size):
                 name = f"i{len(self.peers):03}"
@@ -109,96 +109,104 @@
         ]
         for one in indexes:
             for other in self._links[one]:
-                self.peers[other].meet(self.peers[one])
+                self.peers[other].record_compression_support(self.peers[one])
 
-    def play(self, *rows, until, interval_s=0.0):
-        """Tell the first instances of `rows` by the store, and play on.
+    def run(self, *rows, until, interval_s=0.0):
+        """Send `rows` from the store to the first instances and run the simulation.
 
-        The rows come `interval_s` seconds apart. Half a second after all instances have
-        the last one nothing of it is on its way any more.
+        The rows are `interval_s` seconds apart. Half a second after all instances have
+        the last one, no copy of it is in transit any more.
         """
         generator = random.Random(1)
         self.last_version = json.loads(rows[-1].value)["version"]
         for number, row in enumerate(rows):
-            for one, at in enumerate(_FROM_STORE):
-                self._plan(number * interval_s + at, self._read, one, row)
+            for index, at in enumerate(_STORE_SEND_TIMES_S):
+                self._schedule(
+                    number * interval_s + at, self._receive_from_store, index, row
+                )
         for one in range(len(self.peers)):
-            self._plan(generator.uniform(0.0, _BEAT_S), self._beat_on, one)
+            self._schedule(
+                generator.uniform(0.0, _HEARTBEAT_INTERVAL_S),
+                self._send_periodic_heartbeats,
+                one,
+            )
         while self._events and self._events[0][0] <= until:
             self.now, _, step, args = heapq.heappop(self._events)
             step(*args)
             if len(self.in_force) == len(self.peers):
                 until = min(until, max(self.in_force.values()) + 0.5)
 
-    def _plan(self, at, step, *args):
+    def _schedule(self, at, step, *args):
         self._order += 1
         heapq.heappush(self._events, (at, self._order, step, args))
 
-    def _read(self, one, row):
-        """The store sends the row as it is."""
+    def _receive_from_store(self, one, row):
+        """Receive the row from the store, which sends it uncompressed."""
         size = len(row.value)
-        at = self._pass_link(("in", one), size, from_store_s=size / self._link)
-        self._plan(at, self._take_read, one, row)
+        at = self._transfer(("in", one), size, store_row_s=size / self._bytes_per_s)
+        self._schedule(at, self._merge_store_row, one, row)
 
-    def _take_read(self, one, row):
-        peer = self._wake(one)
+    def _merge_store_row(self, one, row):
+        peer = self._advance_peer(one)
         peer.configuration.take_row(row, source="store", now=self.now)
-        self._note(one)
+        self._record_in_force(one)
 
-    def _wake(self, one):
+    def _advance_peer(self, one):
         self.peers[one].now = 100.0 + self.now
         return self.peers[one]
 
-    def _note(self, one):
-        """Tell all of a version that has just come, once it is read."""
+    def _record_in_force(self, one):
+        """Record when the last version is in force, and send heartbeats then."""
         is_last = self.peers[one].configuration.version == self.last_version
         if one not in self.in_force and is_last:
-            self.in_force[one] = self.now + _READ_S
-            self._plan(self.now + _READ_S, self._beat, one)
+            self.in_force[one] = self.now + _DECODE_S
+            self._schedule(self.now + _DECODE_S, self._send_heartbeats, one)
 
-    def _beat_on(self, one):
-        self._beat(one)
-        self._plan(self.now + _BEAT_S, self._beat_on, one)
+    def _send_periodic_heartbeats(self, one):
+        self._send_heartbeats(one)
+        self._schedule(
+            self.now + _HEARTBEAT_INTERVAL_S, self._send_periodic_heartbeats, one
+        )
 
-    def _beat(self, one):
-        heartbeat = self._wake(one).knowledge.make_heartbeat()
+    def _send_heartbeats(self, one):
+        heartbeat = self._advance_peer(one).knowledge.make_heartbeat()
         size = len(encode_message(heartbeat))
         for other in self._links[one]:
-            self._send_sized(one, other, heartbeat, size)
+            self._send_bytes(one, other, heartbeat, size)
 
     def _send(self, one, other, message):
-        self._send_sized(one, other, message, len(encode_message(message)))
+        self._send_bytes(one, other, message, len(encode_message(message)))
 
-    def _send_sized(self, one, other, message, size):
-        at = self._pass_link(("out", one), size)
-        is_near = self._centres[one] == self._centres[other]
-        at += _NEAR_S if is_near else _FAR_S
-        self._plan(at, self._arrive, one, other, message, size)
+    def _send_bytes(self, one, other, message, size):
+        at = self._transfer(("out", one), size)
+        is_same_centre = self._centres[one] == self._centres[other]
+        at += _LATENCY_S if is_same_centre else _REMOTE_LATENCY_S
+        self._schedule(at, self._arrive, one, other, message, size)
 
-    def _pass_link(self, link, size, from_store_s=0.0):
-        """Return when `size` bytes are through, and note for how long they waited.
+    def _transfer(self, link, size, store_row_s=0.0):
+        """Return when `size` bytes have passed a link, and record how long they waited.
 
-        The row from the store takes its size by the link's, and whatever comes beside
-        it waits until it is through; what is noted is the rest.
+        The transfer time of the row from the store, and the wait of other messages for
+        that row, are not counted.
         """
-        at = max(self.now, self._free.get(link, 0.0)) + size / self._link
-        self._free[link] = at
-        if from_store_s:
-            self._read_at[link] = at
+        at = max(self.now, self._free_at.get(link, 0.0)) + size / self._bytes_per_s
+        self._free_at[link] = at
+        if store_row_s:
+            self._store_row_at[link] = at
         else:
-            from_store_s = max(0.0, self._read_at.get(link, 0.0) - self.now)
-        self.waited_s = max(self.waited_s, at - self.now - from_store_s)
+            store_row_s = max(0.0, self._store_row_at.get(link, 0.0) - self.now)
+        self.waited_s = max(self.waited_s, at - self.now - store_row_s)
         return at
 
     def _arrive(self, one, other, message, size):
-        at = self._pass_link(("in", other), size)
-        self._plan(at, self._take, one, other, message)
+        at = self._transfer(("in", other), size)
+        self._schedule(at, self._handle, one, other, message)
 
-    def _take(self, one, other, message):
-        peer = self._wake(other)
+    def _handle(self, one, other, message):
+        peer = self._advance_peer(other)
         if isinstance(message, Heartbeat):
-            for question in peer.knowledge.merge_heartbeat(message):
-                self._send(other, one, question)
+            for fetch in peer.knowledge.merge_heartbeat(message):
+                self._send(other, one, fetch)
         elif isinstance(message, FetchCompressedConfiguration | FetchTargets):
             answer = peer.knowledge.answer(message)
             if answer is not None:
@@ -207,7 +215,7 @@
             name = f"i{other:03}"
             self._send(other, one, ConfigurationReceived(sender=name))
             peer.knowledge.merge_snapshot(message)
-            self._note(other)
+            self._record_in_force(other)
         elif isinstance(message, TargetChanges):
             peer.knowledge.merge_snapshot(message)
         elif isinstance(message, ConfigurationDeferred):
@@ -217,31 +225,32 @@
 
 
 class ConfigurationSpreadTest(unittest.TestCase):
-    def test_large_configuration_reaches_all_and_fills_no_link(self):
-        # The operator adds 1,800 routes; for four seconds sound streams are cut at
-        # instances that have the new version. Whoever hears of it asks one peer after
-        # the other while the first answer is still on its way, and whoever has it
-        # sends it to all that ask at once; its link is full, and probes of targets
-        # pass too late. In the incident ten small instances sent all that their links
-        # bear for a second, and just their readiness failed; played here, a link's
-        # queue was 7.7 s long, and two thirds of 77 had no row after 2.5 s.
+    def test_large_configuration_reaches_all_and_saturates_no_link(self):
+        # The operator added 1,800 routes, and for four seconds healthy streams were cut
+        # at instances that had the new version. Instances fetched it from one peer
+        # after another while the first answer was still in transit, and those that had
+        # it sent it to all that asked at once. That saturated their links and delayed
+        # probes of targets. In the incident, ten small instances sent at full bandwidth
+        # for a second, and only their readiness checks failed. In this simulation a
+        # link's queue was 7.7 s long, and two thirds of 77 instances had no row after
+        # 2.5 s.
         cases = [
             ("77 in 3", (26, 26, 25), 2.5),
             ("330 in 19", (18,) * 7 + (17,) * 12, 8.0),
         ]
-        for name, sizes, most_s in cases:
+        for name, sizes, max_s in cases:
             with self.subTest(name):
                 fleet = _Fleet(sizes=sizes)
-                fleet.play(_make_row(7, 2050), until=most_s)
+                fleet.run(_make_row(7, 2050), until=max_s)
                 found = f"{len(fleet.in_force)} have it, waited {fleet.waited_s:.3f} s"
-                self.assertLessEqual(fleet.waited_s, _MOST_WAIT_S, found)
+                self.assertLessEqual(fleet.waited_s, _MAX_WAIT_S, found)
                 self.assertEqual(len(fleet.in_force), len(fleet.peers), found)
-                self.assertLessEqual(max(fleet.in_force.values()), most_s, found)
+                self.assertLessEqual(max(fleet.in_force.values()), max_s, found)
 
-    def test_versions_in_a_row_reach_all_over_slow_links(self):
-        """Guards against links that copies of several large versions keep saturated."""
+    def test_successive_versions_reach_all_over_slow_links(self):
+        """Guards against links saturated by copies of several large versions."""
         cases = [
-            # Mbit/s, seconds between two versions
+            # Mbit/s, and seconds between two versions
             (10, 1.3),
             (20, 0.3),
             (100, 0.0625),
@@ -251,7 +260,7 @@
                 fleet = _Fleet(sizes=(29, 26, 31), link=mbps * 125_000)
                 rows = [_make_row(7 + number, 1700) for number in range(4)]
                 last_at = 3 * interval_s
-                fleet.play(*rows, until=last_at + _IN_FORCE_S, interval_s=interval_s)
+                fleet.run(*rows, until=last_at + _MAX_SPREAD_S, interval_s=interval_s)
                 found = f"{len(fleet.in_force)} have it, waited {fleet.waited_s:.3f} s"
                 self.assertEqual(len(fleet.in_force), len(fleet.peers), found)
-                self.assertLessEqual(fleet.waited_s, _MOST_WAIT_S, found)
+                self.assertLessEqual(fleet.waited_s, _MAX_WAIT_S, found)
--- a/packages/router/fulmarward_router/tests/test_layout.py
+++ b/packages/router/fulmarward_router/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""How the router's parts may depend on each other."""
+"""Rules on imports and names across the packages."""
 
 import ast
 import re
@@ -9,8 +9,8 @@
 _ROOT = Path(__file__).parents[4]
 _ROUTER = _ROOT / "packages" / "router" / "fulmarward_router"
 
-#: Names of the platform's wire: headers, calls and fields that no field of ours has.
-_WIRE = re.compile(
+#: Headers, calls and fields of the platform's protocol that no field of ours shares.
+_PROTOCOL_NAMES = re.compile(
     r"X-Attempt-Id|X-Hop-Count|X-Target-Instance|X-Credential|X-Not-Executed"
     r"|X-Tenant|X-Token-Usage|X-Server-Stamp|X-Length-Hint|At-Server|rows-tx|rows-get"
     r"|rows-feed|trafficSplit|routeType|sloMs|gapAimMs|tokenKvBytes|coldRemainingMs"
@@ -30,12 +30,12 @@
 
 
 def _find_slice(module):
-    """Return the slice of a module of the router: its folder, or its own name."""
+    """Return the top-level folder or module of the router that holds a module."""
     return module.removeprefix("fulmarward_router.").split(".")[0]
 
 
 class LayoutTest(unittest.TestCase):
-    def test_slices_import_each_other_in_no_circle(self):
+    def test_slices_have_no_import_cycle(self):
         graph = {}
         for path in _list_sources(_ROUTER):
             own = path.relative_to(_ROUTER).with_suffix("").parts[0]
@@ -48,19 +48,19 @@
         try:
             order = list(TopologicalSorter(graph).static_order())
         except CycleError as error:
-            self.fail(f"slices import each other in a circle: {error.args[1]}")
+            self.fail(f"import cycle: {error.args[1]}")
         self.assertIn("daemon", order)
 
-    def test_names_of_the_wire_stand_in_the_adapter_only(self):
+    def test_names_of_the_protocol_are_used_in_the_adapter_only(self):
         leaks = [
             str(path.relative_to(_ROOT))
             for path in _list_sources(_ROOT / "packages")
-            if _WIRE.search(path.read_text())
+            if _PROTOCOL_NAMES.search(path.read_text())
         ]
         self.assertEqual(leaks, [])
 
-    def test_decisions_need_no_clock_socket_or_log(self):
-        # What decides is tested without any of them, and the time is an argument.
+    def test_decisions_import_no_clock_socket_or_log(self):
+        # Decisions are tested without any of them, and the time is an argument.
         forbidden = {"asyncio", "socket", "logging", "aiohttp", "websockets", "time"}
         core = _ROOT / "packages" / "core" / "fulmarward_core"
         slices = [
--- a/packages/router/fulmarward_router/tests/test_processor.py
+++ b/packages/router/fulmarward_router/tests/test_processor.py
@@ -5,7 +5,7 @@
 
 
 class _Clock:
-    """Time that passes only where a step spends it."""
+    """A clock that only `spend` advances."""
 
     def __init__(self):
         self.now = 0.0
@@ -27,8 +27,8 @@
             self.clock.spend(seconds)
             await asyncio.sleep(0)
 
-    async def test_steps_count_for_the_subsystem_that_started_them(self):
-        """Guards against a subsystem that takes the processor and is not named."""
+    async def test_time_is_charged_to_the_subsystem_that_started_the_task(self):
+        """Guards against processor time that is charged to no subsystem."""
         self.meter.install(asyncio.get_running_loop())
 
         async def start_another():
@@ -42,8 +42,8 @@
             dict(self.meter.subsystems), {"mesh": 7.0, "requests": 8.0, OTHER: 16.0}
         )
 
-    async def test_cancelled_and_failed_tasks_end_as_without_a_meter(self):
-        """Guards against a meter that hides how a task ended."""
+    async def test_cancelled_and_failed_tasks_end_as_without_the_meter(self):
+        """Guards against a meter that swallows cancellations or exceptions."""
         self.meter.install(asyncio.get_running_loop())
 
         async def fail():
@@ -57,7 +57,7 @@
         with self.assertRaises(ValueError):
             await start_in_subsystem("mesh", fail())
 
-    async def test_calls_count_for_their_activity(self):
+    async def test_calls_are_charged_to_their_activity(self):
         decode = self.meter.measure("decoding", self.clock.spend)
         decode(3.0)
         decode(4.0)
