--- a/packages/core/fulmarward_core/admission/__init__.py
+++ b/packages/core/fulmarward_core/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Which requests are taken, in what order they run, and what refused ones are told."""
+"""Admission control: team shares, fair queueing, and refusals with a retry delay."""
 
 from fulmarward_core.admission._types import (
     Bucket,
--- a/packages/core/fulmarward_core/admission/_types.py
+++ b/packages/core/fulmarward_core/admission/_types.py
@@ -1,4 +1,4 @@
-"""The state of admission."""
+"""State of admission control."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,153 +9,149 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """One request in the eyes of admission."""
+    """A request as admission control sees it."""
 
     #: Id of the request.
     request: str
-    #: Its team.
     team: str
-    #: How soon it is needed.
     urgency: Urgency
-    #: Tokens of prompt and expected output, as shares are counted.
+    #: Tokens of the prompt and the expected output, which are charged to the share.
     tokens: float
     #: Expected time on a target, in seconds.
     service_s: float
-    #: When the answer has to be over, seconds on the steady clock.
+    #: When the answer must be complete, in seconds on the monotonic clock.
     deadline: float
-    #: Whether it runs on capacity lent to its team beyond the sold share.
+    #: Whether it runs on unused capacity that its team borrows beyond its sold share.
     is_lent: bool = False
-    #: Until when it may wait for a place, seconds on the steady clock.
+    #: When it must have left the queue, in seconds on the monotonic clock.
     latest_start: float = float("inf")
-    #: When it was queued, on the steady clock, and the wait that was estimated.
+    #: When it was queued, on the monotonic clock, and the wait estimated at that time.
     queued_at: float = 0.0
     expected_wait_s: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """Why a request is not taken, and when one like it may be."""
+    """Why a request was refused, and when a similar one may be admitted."""
 
-    #: The numbered result.
+    #: Result code that the caller receives.
     code: ResultCode
-    #: Seconds after which coming back makes sense; `None` when it never does.
+    #: Seconds after which to retry; `None` when a retry cannot succeed.
     retry_after_s: float | None
-    #: The estimated wait that decided, in seconds.
+    #: Estimated wait on which the decision was based, in seconds.
     wait_s: float
 
 
 @dataclass(kw_only=True)
 class Bucket:
-    """What is left of a team's share at this instance."""
+    """Token bucket for the part of a team's share that this instance may use."""
 
-    #: Tokens a second that come in.
+    #: Tokens added per second.
     rate: float
-    #: Most tokens held.
+    #: Maximum number of tokens.
     depth: float
-    #: Tokens held; below 0 when answers were longer than expected.
+    #: Current number of tokens; negative after answers longer than expected.
     level: float
-    #: When `level` was true, seconds on the steady clock.
+    #: When `level` was last updated, in seconds on the monotonic clock.
     updated_at: float
-    #: Tokens that refused callers were told to come back for.
+    #: Tokens for which refused callers were told to retry.
     promised: float = 0.0
 
 
 @dataclass(kw_only=True)
 class Flow:
-    """One of several that share an order by weight."""
+    """A queue that shares a schedule with others in proportion to its weight."""
 
-    #: Weight; a flow of weight 2 gets twice as much as one of weight 1.
+    #: A flow of weight 2 receives twice the service of one of weight 1.
     weight: float
-    #: Start tag of its next item in the order's virtual time.
-    tag: float = 0.0
-    #: Seconds of service that wait.
+    #: Start tag of its next item, in the virtual time of the schedule.
+    start_tag: float = 0.0
+    #: Seconds of queued service.
     backlog_s: float = 0.0
 
 
 @dataclass(kw_only=True)
-class Order:
-    """Flows and the virtual time in which they are served (start-time fair)."""
+class FlowSchedule:
+    """Start-time fair queueing (SFQ) over several flows."""
 
     #: Flows by key.
     flows: dict[object, Flow] = field(default_factory=dict)
-    #: Start tag of the item served last.
-    virtual: float = 0.0
+    #: Start tag of the item that was served last.
+    virtual_time: float = 0.0
 
 
 @dataclass(kw_only=True)
 class FairQueue:
     """Requests that wait for a place in one pool.
 
-    Work inside sold shares goes before lent work; teams are ordered fairly by their
-    weights, and inside a team its urgencies are.
+    Work within sold shares is served before work on lent capacity. Teams are scheduled
+    by weighted fair queueing, and so are the urgencies within a team.
     """
 
-    #: The order of teams inside their share, and of those on lent capacity.
-    teams: dict[bool, Order] = field(
-        default_factory=lambda: {False: Order(), True: Order()}
+    #: Schedule of the teams by whether their work is on lent capacity.
+    teams: dict[bool, FlowSchedule] = field(
+        default_factory=lambda: {False: FlowSchedule(), True: FlowSchedule()}
     )
-    #: The order of urgencies by (is lent, team).
-    urgencies: dict[tuple[bool, str], Order] = field(default_factory=dict)
+    #: Schedule of the urgencies by (is lent, team).
+    urgencies: dict[tuple[bool, str], FlowSchedule] = field(default_factory=dict)
     #: Waiting tickets by (is lent, team, urgency).
     waiting: dict[tuple[bool, str, Urgency], deque[Ticket]] = field(
         default_factory=dict
     )
     #: Number of waiting tickets.
     length: int = 0
-    #: Seconds of service a second that sold work asks for, averaged, and as of when.
+    #: Average seconds of sold work that arrive per second, and when it was updated.
     sold_rate: float = 0.0
     sold_at: float = 0.0
-    #: What waits on lent capacity were, as a multiple of their estimates, by urgency.
+    #: Ratio of actual to estimated waits on lent capacity, by urgency.
     corrections: dict[Urgency, float] = field(default_factory=dict)
 
 
 @dataclass(kw_only=True)
 class Outputs:
-    """How long a pipeline's answers have been."""
+    """Statistics on the answer lengths of a pipeline."""
 
-    #: The length that nine in ten stay under; 0 before the first.
+    #: Estimate of the 90th percentile, in tokens; 0 before the first answer.
     tokens: float = 0.0
-    #: Answers seen.
+    #: Number of answers observed.
     samples: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class TeamDemand:
-    """What one team asks for at one instance."""
+    """Demand of one team at one instance."""
 
-    #: Name of the team.
     team: str
-    #: Tokens a second.
     tokens_per_s: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class DemandRow:
-    """What teams ask for at one instance, as it said itself."""
+    """Demand of the teams at one instance, as reported by that instance."""
 
-    #: The instance's name and the number of its run.
+    #: Name of the instance, and a number that rises with each of its restarts.
     member: str
     boot: int
-    #: Raised with each word of that run.
+    #: Rises with each report of the same run.
     sequence: int
-    #: Its largest teams.
+    #: The teams with the largest demand.
     teams: tuple[TeamDemand, ...]
 
 
 @dataclass(kw_only=True)
 class DemandTable:
-    """What teams ask for, here and elsewhere."""
+    """Demand of the teams at this instance and at all others."""
 
-    #: Tokens a second by team, averaged.
+    #: Average tokens per second at this instance, by team.
     own: dict[str, float] = field(default_factory=dict)
-    #: Tokens by team since the last averaging.
+    #: Tokens requested since the last update of the averages, by team.
     counted: dict[str, float] = field(default_factory=dict)
-    #: When it was averaged last, seconds on the steady clock.
+    #: When the averages were last updated, in seconds on the monotonic clock.
     averaged_at: float = float("-inf")
-    #: Number of the own last word.
+    #: Sequence number of the last own report.
     sequence: int = 0
-    #: Other instances' rows by name, and when they came, on the steady clock.
+    #: Rows of other instances by name, and when they arrived, on the monotonic clock.
     rows: dict[str, DemandRow] = field(default_factory=dict)
     heard_at: dict[str, float] = field(default_factory=dict)
-    #: Number of the own word with which each row was last passed on.
+    #: Sequence number of the own report with which each row was last forwarded.
     sent: dict[str, int] = field(default_factory=dict)
--- a/packages/core/fulmarward_core/admission/decisions/__init__.py
+++ b/packages/core/fulmarward_core/admission/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Shares, order and estimates of admission; all pure."""
+"""Pure functions for shares, queueing order and wait estimates."""
--- a/packages/core/fulmarward_core/admission/decisions/_buckets.py
+++ b/packages/core/fulmarward_core/admission/decisions/_buckets.py
@@ -1,48 +1,49 @@
-"""Sold shares: how they are split over instances, taken from and given back.
+"""Token buckets for the sold shares, and how a share is split over instances.
 
-Counted in tokens, prompt and output together, because requests differ a thousandfold.
+Shares are counted in tokens of prompt and output together, because the sizes of
+requests differ by a factor of a thousand.
 """
 
 from collections.abc import Mapping
 
 from fulmarward_core.admission._types import Bucket
 
-#: Part of a share that is split evenly whatever the demand. Load: callers that move
-#: to another instance; harm: they find nothing left of their team's share there until
-#: the demand is heard of; reason: a fifth carries them over those seconds.
-EVEN_PART = 0.2
+#: Fraction of a share that is split evenly, regardless of demand. Without it, callers
+#: that move to another instance would find none of their team's share there until the
+#: other instances learn of the demand; a fifth covers those seconds.
+EVEN_FRACTION = 0.2
 
-#: Times its part of the rate that an instance gets of a burst. Load: requests of
-#: thousands of tokens; harm: a team inside its share finds its part too small for the
-#: next request at one instance while others hold it unused; reason: the rate is kept
-#: whatever the depth, only the bursts together are up to twice what was sold.
+#: Multiplier on an instance's part of the burst. With requests of thousands of tokens,
+#: a team within its share could find its part too small for the next request at one
+#: instance while it is unused at others. The rate holds whatever the depth; only the
+#: bursts of all instances together may reach twice what was sold.
 BURST_FACTOR = 2.0
 
-#: Tokens that a bucket may lack. Load: callers that come back to the moment that they
-#: were told; harm: they are refused for a rounding of floating-point numbers; reason:
-#: far more than such roundings add up to, far less than one token.
-TOLERANCE = 0.01
+#: Tokens that a bucket may be short of. Callers that retry exactly when they were told
+#: must not be refused because of floating-point rounding. The value is far above the
+#: accumulated rounding error and far below one token.
+ROUNDING_TOLERANCE = 0.01
 
 
 def split_share(*, own: float, others: Mapping[str, float], members: int) -> float:
-    """Return the part of a team's share that this instance may hand out.
+    """Return the fraction of a team's share that this instance may use.
 
-    `own` and `others` are tokens a second that were asked for here and, by instance,
-    elsewhere; `members` counts all live instances. One of which nothing is heard
-    counts with the mean, so that a silent instance's part is not handed out twice.
+    `own` and `others` are the tokens per second requested at this instance and, by
+    instance, at the others; `members` is the number of live instances. An instance
+    whose demand is unknown counts with the mean, so that its part is not used twice.
     """
     if members <= 1:
         return 1.0
-    heard = 1 + len(others)
+    known = 1 + len(others)
     total = own + sum(others.values())
-    total += max(0, members - heard) * total / heard
+    total += max(0, members - known) * total / known
     if total <= 0:
         return 1.0 / members
-    return EVEN_PART / members + (1 - EVEN_PART) * own / total
+    return EVEN_FRACTION / members + (1 - EVEN_FRACTION) * own / total
 
 
 def split_burst(burst_tokens: float, part: float) -> float:
-    """Return the depth of a bucket at an instance that has `part` of the share."""
+    """Return the bucket depth at an instance that has `part` of the share."""
     return burst_tokens * min(1.0, BURST_FACTOR * part)
 
 
@@ -52,7 +53,7 @@
 
 
 def resize_bucket(bucket: Bucket, *, rate: float, depth: float, now: float) -> None:
-    """Change a bucket's rate and depth; what it holds is cut to the new depth."""
+    """Change the rate and depth of a bucket; its level is capped at the new depth."""
     refill_bucket(bucket, now=now)
     bucket.rate = rate
     bucket.depth = depth
@@ -60,7 +61,7 @@
 
 
 def refill_bucket(bucket: Bucket, *, now: float) -> None:
-    """Bring the bucket up to the present time."""
+    """Add the tokens that accrued since the last update."""
     gained = max(0.0, now - bucket.updated_at) * bucket.rate
     bucket.level = min(bucket.depth, bucket.level + gained)
     bucket.promised = max(0.0, bucket.promised - gained)
@@ -68,35 +69,37 @@
 
 
 def take_tokens(bucket: Bucket, tokens: float, *, now: float) -> bool:
-    """Take `tokens` if the team is inside its share; return whether it was.
+    """Take `tokens` if the team is within its share; return whether it was.
 
-    A request larger than the bucket is let through by a full one, else a team with a
-    small burst could never send it.
+    A full bucket admits a request that is larger than its depth; otherwise a team with
+    a small burst could never send it.
     """
     refill_bucket(bucket, now=now)
-    if bucket.level + TOLERANCE < min(tokens, bucket.depth) or bucket.depth <= 0:
+    if (
+        bucket.level + ROUNDING_TOLERANCE < min(tokens, bucket.depth)
+        or bucket.depth <= 0
+    ):
         return False
     bucket.level -= tokens
     return True
 
 
 def settle_tokens(bucket: Bucket, *, reserved: float, used: float, now: float) -> None:
-    """Replace what was reserved for a request by what it really used."""
+    """Replace the tokens reserved for a request by those that it actually used."""
     refill_bucket(bucket, now=now)
     bucket.level = min(bucket.depth, bucket.level + reserved - used)
 
 
 def promise_tokens(bucket: Bucket, tokens: float, *, now: float) -> float | None:
-    """Return in how many seconds the share will hold `tokens` more for one caller.
+    """Return the seconds until the share has `tokens` for one more refused caller.
 
-    Load: a team far over its share; harm: all refused callers are told the same
-    moment, and all but one are refused again; reason: each is told a moment after
-    those who were told before it.
+    Each caller gets a later time than those refused before it. If all callers of a team
+    far over its share got the same time, all but one would be refused again.
     """
     refill_bucket(bucket, now=now)
     if bucket.rate <= 0 or bucket.depth <= 0:
         return None
     need = min(tokens, bucket.depth)
-    lacking = max(0.0, need - bucket.level) + bucket.promised
+    missing = max(0.0, need - bucket.level) + bucket.promised
     bucket.promised += need
-    return lacking / bucket.rate
+    return missing / bucket.rate
--- a/packages/core/fulmarward_core/admission/decisions/_demand.py
+++ b/packages/core/fulmarward_core/admission/decisions/_demand.py
@@ -1,61 +1,63 @@
-"""What teams ask for at each instance, spread among instances without a store."""
+"""Demand of the teams at each instance, exchanged by gossip without a shared store."""
 
 import math
 
 from fulmarward_core.admission._types import DemandRow, DemandTable, TeamDemand
 
-#: Seconds over which demand is averaged. Load: a team's uneven seconds; harm: shares
-#: that swing with noise; reason: some requests of each team fall into this time.
-AVERAGE_S = 5.0
+#: Time constant of the demand averages, in seconds. It spans several requests of each
+#: team, so that shares do not fluctuate with the noise of single seconds.
+AVERAGING_TIME_S = 5.0
 
-#: Teams told of in one row. Load: 550 teams; harm: rows of 10 KB; reason: an instance
-#: serves some dozens of teams at once, the rest is noise.
-MOST_TEAMS = 32
+#: With 550 teams, unbounded rows would take 10 KB. An instance serves a few dozen teams
+#: at once; the demand of the rest is negligible.
+MAX_TEAMS_PER_ROW = 32
 
-#: Bytes of rows sent in one message. Load: 330 instances; harm: more than the 4 KB/s
-#: that control may take; reason: a quarter of it, which `choose_pause` spreads out.
-#: Nine instances with ten teams each send all that they know each second.
-MOST_BYTES = 1000
+#: Maximum bytes of rows in one message. With 330 instances, unbounded messages would
+#: exceed the 4 KB/s allowed for control traffic; this is a quarter of that, and
+#: `choose_pause` spaces the messages out. Nine instances with ten teams each still send
+#: all their rows each second.
+MAX_MESSAGE_BYTES = 1000
 
-#: Instances up to which rows are told each second.
-SMALL_FLEET = 16
+#: Number of instances up to which rows are sent each second.
+MAX_SMALL_FLEET = 16
 
-#: Splits of the shares, one each second, between two tellings: in a small fleet, and in
-#: a larger one. Load: 60 instances; harm: at one telling a second rows were 1.8 of the
-#: 2.3 KB/s between peers, before frames; reason: a third of that, and a neighbour's
-#: word is then half a minute old at most, a far one's some minutes.
-SMALL_PAUSE, LARGE_PAUSE = 1, 3
+#: Interval between messages, counted in updates of the shares (one per second). With 60
+#: instances and a message each second, rows made up 1.8 of the 2.3 KB/s between peers,
+#: before framing. One message in three seconds takes a third of that; a neighbour's row
+#: is then at most half a minute old, and a distant one's a few minutes.
+SMALL_FLEET_INTERVAL, LARGE_FLEET_INTERVAL = 1, 3
 
-#: Bytes of a row without its teams, and of a team in it.
+#: Encoded size of a row without its teams, and of each team, in bytes.
 ROW_BYTES = 40
 TEAM_BYTES = 24
 
-#: Age at which a row counts no more, in seconds. Load: 330 instances, whose rows take
-#: minutes to go round; harm: demand of long ago holds a share; reason: twice that time.
-MOST_AGE_S = 300.0
+#: Age at which a row expires, in seconds, so that outdated demand does not keep a part
+#: of a share. It is twice the time that rows need to reach all of 330 instances, which
+#: is minutes.
+MAX_ROW_AGE_S = 300.0
 
 
 def count_demand(table: DemandTable, team: str, tokens: float) -> None:
-    """Count what a request asks for here."""
+    """Add the tokens of a request to the demand at this instance."""
     table.counted[team] = table.counted.get(team, 0.0) + tokens
 
 
 def average_demand(table: DemandTable, *, now: float) -> None:
-    """Bring the averages of the own demand up to the present time."""
-    passed_s = now - table.averaged_at
-    if passed_s <= 0:
+    """Update the averages of the demand at this instance."""
+    elapsed_s = now - table.averaged_at
+    if elapsed_s <= 0:
         return
-    kept = math.exp(-passed_s / AVERAGE_S) if math.isfinite(passed_s) else 0.0
+    decay = math.exp(-elapsed_s / AVERAGING_TIME_S) if math.isfinite(elapsed_s) else 0.0
     for team in table.own.keys() | table.counted.keys():
-        rate = table.counted.get(team, 0.0) / min(passed_s, AVERAGE_S)
-        table.own[team] = table.own.get(team, 0.0) * kept + rate * (1 - kept)
+        rate = table.counted.get(team, 0.0) / min(elapsed_s, AVERAGING_TIME_S)
+        table.own[team] = table.own.get(team, 0.0) * decay + rate * (1 - decay)
     table.own = {team: rate for team, rate in table.own.items() if rate >= 0.01}
     table.counted.clear()
     table.averaged_at = now
 
 
 def make_own_row(table: DemandTable, *, member: str, boot: int) -> DemandRow:
-    """Return what this instance says of itself, newer than all that it said before."""
+    """Return the demand at this instance as a row with the next sequence number."""
     table.sequence += 1
     largest = sorted(table.own.items(), key=lambda item: (-item[1], item[0]))
     return DemandRow(
@@ -64,24 +66,24 @@
         sequence=table.sequence,
         teams=tuple(
             TeamDemand(team=team, tokens_per_s=rate)
-            for team, rate in largest[:MOST_TEAMS]
+            for team, rate in largest[:MAX_TEAMS_PER_ROW]
         ),
     )
 
 
 def choose_pause(members: int) -> int:
-    """Return how many splits of the shares lie between two tellings."""
-    return SMALL_PAUSE if members <= SMALL_FLEET else LARGE_PAUSE
+    """Return the interval between messages, in updates of the shares."""
+    return SMALL_FLEET_INTERVAL if members <= MAX_SMALL_FLEET else LARGE_FLEET_INTERVAL
 
 
 def merge_row(table: DemandTable, row: DemandRow, *, now: float) -> bool:
-    """Take in a row if it is newer than what is known; return whether it was."""
+    """Store a row if it is newer than the known one; return whether it was."""
     known = table.rows.get(row.member)
-    is_old = known is not None and (row.boot, row.sequence) <= (
+    is_outdated = known is not None and (row.boot, row.sequence) <= (
         known.boot,
         known.sequence,
     )
-    if is_old:
+    if is_outdated:
         return False
     table.rows[row.member] = row
     table.heard_at[row.member] = now
@@ -89,13 +91,13 @@
 
 
 def select_rows(table: DemandTable, own: DemandRow) -> tuple[DemandRow, ...]:
-    """Return the rows of the next message: the own, then those longest unsent."""
+    """Return the rows of the next message: the own, then the least recently sent."""
     rows = [own]
-    room = MOST_BYTES - _count_bytes(own)
+    remaining_bytes = MAX_MESSAGE_BYTES - _count_bytes(own)
     for member in sorted(table.rows, key=lambda name: (table.sent.get(name, 0), name)):
         row = table.rows[member]
-        room -= _count_bytes(row)
-        if room < 0:
+        remaining_bytes -= _count_bytes(row)
+        if remaining_bytes < 0:
             break
         rows.append(row)
         table.sent[member] = own.sequence
@@ -107,16 +109,16 @@
 
 
 def forget_rows(table: DemandTable, *, members: frozenset[str], now: float) -> None:
-    """Forget instances that are gone, and what is too old."""
+    """Remove the rows of instances that left, and rows that expired."""
     for member in list(table.rows):
-        if member not in members or now - table.heard_at[member] > MOST_AGE_S:
+        if member not in members or now - table.heard_at[member] > MAX_ROW_AGE_S:
             del table.rows[member]
             del table.heard_at[member]
             table.sent.pop(member, None)
 
 
 def list_others(table: DemandTable, team: str) -> dict[str, float]:
-    """Return by instance what a team asks for elsewhere, as far as is known."""
+    """Return the known demand of a team at the other instances, by instance."""
     return {
         member: next(
             (item.tokens_per_s for item in row.teams if item.team == team), 0.0
--- a/packages/core/fulmarward_core/admission/decisions/_estimates.py
+++ b/packages/core/fulmarward_core/admission/decisions/_estimates.py
@@ -1,4 +1,4 @@
-"""Whether a request can be answered before its deadline, and what to say if not."""
+"""Estimates of waits and answer lengths, and the decision to admit or refuse."""
 
 import math
 import random
@@ -16,72 +16,73 @@
 from fulmarward_core.declaration import Urgency
 from fulmarward_core.results import ResultCode
 
-#: Longest wait in a queue by urgency, in seconds. Load: saturation; harm: requests
-#: that wait hold memory and hide that the pool is full; reason: a van waits seconds,
-#: a bulk caller gains nothing by waiting here rather than coming back.
-MOST_WAIT_S = {Urgency.URGENT: 2.0, Urgency.NORMAL: 5.0, Urgency.BULK: 20.0}
+#: Maximum wait in the queue by urgency, in seconds. Under saturation, waiting requests
+#: hold memory and hide that the pool is full. An urgent user can wait only seconds (a
+#: van on the road); a bulk caller gains nothing by waiting here instead of retrying.
+MAX_WAIT_S = {Urgency.URGENT: 2.0, Urgency.NORMAL: 5.0, Urgency.BULK: 20.0}
 
-#: Longest wait on lent capacity, in seconds. Load: others use their shares again;
-#: harm: lent work waits for capacity that was given back; reason: it is told at once.
-MOST_LENT_WAIT_S = 3.0
+#: Maximum wait on lent capacity, in seconds. When other teams use their shares again,
+#: borrowers are refused early instead of waiting for capacity that was returned.
+MAX_LENT_WAIT_S = 3.0
 
-#: Times the longest wait on lent capacity after which a request is given up. Load: a
-#: pool whose sold work grows; harm: lent work waits until its deadline and is refused
-#: then; reason: an estimate of less than half the wait was wrong, and it is said.
-LENT_PATIENCE = 2.0
+#: Multiple of `MAX_LENT_WAIT_S` after which a queued request is refused. When the sold
+#: work of a pool grows, lent work would otherwise wait until its deadline and be
+#: refused then. An estimate below half of the actual wait was wrong.
+LENT_TIMEOUT_FACTOR = 2.0
 
-#: What waits are corrected by: the weight of the newest, the most, and what a refusal
-#: leaves of it. Load: work that comes later and goes first, which no look at the queue
-#: shows; harm: requests admitted to a wait that ends in a refusal; reason: what the
-#: last waits were tells; a correction that refuses all is slowly forgotten.
+#: Correction of estimated waits by the observed ones: the weight of the newest sample,
+#: the maximum, and the factor that each refusal applies. Work that arrives later and is
+#: served first does not show in the queue, so requests would be admitted to a wait that
+#: ends in a refusal. The decay makes a correction that refuses everything wear off.
 CORRECTION_WEIGHT = 0.1
-MOST_CORRECTION = 20.0
-DOUBT_CORRECTION = 0.995
+MAX_CORRECTION = 20.0
+CORRECTION_DECAY = 0.995
 
-#: Waits below this many seconds are noise.
-LEAST_WAIT_S = 0.1
+#: Shorter waits, in seconds, are treated as noise.
+MIN_WAIT_S = 0.1
 
-#: Seconds over which the sold work that comes in is averaged.
-SOLD_AVERAGE_S = 5.0
+#: Time constant of the average of arriving sold work, in seconds.
+SOLD_RATE_TIME_S = 5.0
 
-#: Least part of the places that lent work counts on, to keep estimates finite.
-LEAST_LENT_PART = 0.02
+#: Minimum fraction of the places assumed for lent work, to keep estimates finite.
+MIN_LENT_FRACTION = 0.02
 
-#: What an estimate is multiplied by before it is held against the deadline. Load:
-#: saturation; harm: an answer that comes just too late has cost a slot for nothing;
-#: reason: answers of one pipeline spread by about this much.
+#: Multiplier on an estimate before it is compared with the deadline. Under saturation,
+#: an answer that is just too late has wasted a slot; the times of answers of one
+#: pipeline vary by about this much.
 ESTIMATE_MARGIN = 1.1
 
-#: Shortest and longest time to come back that callers are told, in seconds.
-LEAST_RETRY_AFTER_S = 0.2
-MOST_RETRY_AFTER_S = 60.0
+#: Bounds on the retry delay that callers are told, in seconds.
+MIN_RETRY_AFTER_S = 0.2
+MAX_RETRY_AFTER_S = 60.0
 
-#: Part of the time to come back that is spread at random. Load: a burst refused as
-#: one; harm: it comes back as one; reason: a quarter spreads it over the drain.
-RETRY_SPREAD = 0.25
+#: Random addition to the retry delay, as a fraction of it. Without it, a burst that is
+#: refused together would return together; a quarter spreads it over the time in which
+#: the queue drains.
+RETRY_JITTER = 0.25
 
-#: Output tokens expected of a pipeline while little is known of it. Load: the first
-#: requests after a start; harm: refusals that rest on a guess; reason: short enough
-#: that only a deadline that nothing could meet is refused.
-FIRST_OUTPUT_TOKENS = 16.0
+#: Output tokens assumed until enough answers of a pipeline were observed. It is low
+#: enough that the first requests after a start are refused only if no answer could meet
+#: their deadline, not because of a guess.
+DEFAULT_OUTPUT_TOKENS = 16.0
 
-#: Answers from which on a pipeline's lengths are believed.
-LEAST_SAMPLES = 8
+#: Number of answers from which the measured length is used.
+MIN_OUTPUT_SAMPLES = 8
 
-#: What a refusal leaves of the length that it rests on. Load: one run of long answers;
-#: harm: every later request is refused on it, so that no shorter answer is ever seen;
-#: reason: some dozens of refusals and one is let through that measures anew.
-DOUBT = 0.98
+#: Factor that a refusal applies to the estimated answer length that caused it. After a
+#: run of long answers, every later request could be refused, and no shorter answer
+#: would ever be seen. After a few dozen refusals one request is admitted and measured.
+OUTPUT_DECAY = 0.98
 
 
 def expect_output(outputs: Outputs, bound: int) -> float:
-    """Return the output tokens to expect of a request that may have `bound`."""
-    is_known = outputs.samples >= LEAST_SAMPLES
-    return min(float(bound), outputs.tokens if is_known else FIRST_OUTPUT_TOKENS)
+    """Return the expected output tokens of a request that allows up to `bound`."""
+    is_known = outputs.samples >= MIN_OUTPUT_SAMPLES
+    return min(float(bound), outputs.tokens if is_known else DEFAULT_OUTPUT_TOKENS)
 
 
 def note_output(outputs: Outputs, tokens: int) -> None:
-    """Take in the length of an answer; follows the length nine in ten stay under."""
+    """Update the estimated 90th percentile with the length of an answer."""
     outputs.samples += 1
     if not outputs.tokens:
         outputs.tokens = float(max(1, tokens))
@@ -92,8 +93,8 @@
 
 
 def doubt_output(outputs: Outputs) -> None:
-    """Believe a little less in the length that a request was refused for."""
-    outputs.tokens *= DOUBT
+    """Reduce the estimated length because a request was refused on it."""
+    outputs.tokens *= OUTPUT_DECAY
 
 
 def estimate_wait_s(
@@ -113,37 +114,37 @@
     correction = 1.0
     if ticket.is_lent:
         correction = queue.corrections.get(ticket.urgency, 1.0)
-        # Sold work that comes later still goes first, so lent work has the rest only.
+        # Later sold work is still served first, so only the rest is left for lent work.
         sold_rate = queue.sold_rate * math.exp(
-            -max(0.0, now - queue.sold_at) / SOLD_AVERAGE_S
+            -max(0.0, now - queue.sold_at) / SOLD_RATE_TIME_S
         )
-        rate *= max(LEAST_LENT_PART, 1 - sold_rate / rate)
+        rate *= max(MIN_LENT_FRACTION, 1 - sold_rate / rate)
     return (ahead_s + ticket.service_s / 2) / rate * correction
 
 
 def note_wait(queue: FairQueue, ticket: Ticket, *, now: float) -> None:
-    """Take in how long a ticket on lent capacity waited to its start or its end."""
+    """Update the correction with the wait of a ticket on lent capacity."""
     if not ticket.is_lent:
         return
-    expected_s = max(ticket.expected_wait_s, LEAST_WAIT_S)
-    found = max(now - ticket.queued_at, LEAST_WAIT_S) / expected_s
-    known = queue.corrections.get(ticket.urgency, 1.0)
-    wanted = min(found * known, MOST_CORRECTION)
+    expected_s = max(ticket.expected_wait_s, MIN_WAIT_S)
+    ratio = max(now - ticket.queued_at, MIN_WAIT_S) / expected_s
+    correction = queue.corrections.get(ticket.urgency, 1.0)
+    sample = min(ratio * correction, MAX_CORRECTION)
     queue.corrections[ticket.urgency] = max(
-        1.0, known + CORRECTION_WEIGHT * (wanted - known)
+        1.0, correction + CORRECTION_WEIGHT * (sample - correction)
     )
 
 
-def _doubt_correction(queue: FairQueue, ticket: Ticket) -> None:
-    """Believe a little less in the correction that a request was refused for."""
-    known = queue.corrections.get(ticket.urgency, 1.0)
-    queue.corrections[ticket.urgency] = 1 + (known - 1) * DOUBT_CORRECTION
+def _decay_correction(queue: FairQueue, ticket: Ticket) -> None:
+    """Reduce the correction because a request was refused on it."""
+    correction = queue.corrections.get(ticket.urgency, 1.0)
+    queue.corrections[ticket.urgency] = 1 + (correction - 1) * CORRECTION_DECAY
 
 
-def _note_sold(queue: FairQueue, service_s: float, now: float) -> None:
-    """Average the sold work that comes in."""
-    kept = math.exp(-max(0.0, now - queue.sold_at) / SOLD_AVERAGE_S)
-    queue.sold_rate = queue.sold_rate * kept + service_s / SOLD_AVERAGE_S
+def _update_sold_rate(queue: FairQueue, service_s: float, now: float) -> None:
+    """Update the average rate of arriving sold work."""
+    decay = math.exp(-max(0.0, now - queue.sold_at) / SOLD_RATE_TIME_S)
+    queue.sold_rate = queue.sold_rate * decay + service_s / SOLD_RATE_TIME_S
     queue.sold_at = now
 
 
@@ -158,10 +159,10 @@
     now: float,
     generator: random.Random,
 ) -> Ticket | Refusal:
-    """Put a request in the queue, or say at once why not and when to come back.
+    """Queue a request and return its ticket, or return why it is refused.
 
-    Returns the ticket as it was queued. `running` counts this instance's requests on
-    the pool and `places` how many it may have there.
+    `running` is the number of this instance's requests on the pool, and `places` how
+    many it may have there.
     """
     if now + ticket.service_s > ticket.deadline:
         return Refusal(
@@ -172,47 +173,49 @@
     wait_s = estimate_wait_s(
         queue, queued, weight=weight, running=running, places=places, now=now
     )
-    most_s = _limit_wait_s(queued, now)
+    max_wait_s = _compute_max_wait_s(queued, now)
     if is_sold:
-        _note_sold(queue, ticket.service_s, now)
-    if wait_s <= most_s:
-        patience_s = MOST_LENT_WAIT_S * LENT_PATIENCE
+        _update_sold_rate(queue, ticket.service_s, now)
+    if wait_s <= max_wait_s:
+        timeout_s = MAX_LENT_WAIT_S * LENT_TIMEOUT_FACTOR
         queued = replace(
             queued,
             queued_at=now,
             expected_wait_s=wait_s,
-            latest_start=now + patience_s if queued.is_lent else math.inf,
+            latest_start=now + timeout_s if queued.is_lent else math.inf,
         )
         push_ticket(queue, queued, weight=weight)
         return queued
     if queued.is_lent:
-        _doubt_correction(queue, queued)
+        _decay_correction(queue, queued)
     if is_sold:
         bucket.level += ticket.tokens
-        code = _name_cause(queued, wait_s, now)
-        return _refuse(code, wait_s - most_s, wait_s, generator)
-    promised_s = promise_tokens(bucket, ticket.tokens, now=now)
-    over_s = wait_s - most_s
-    after_s = over_s if promised_s is None else max(promised_s, LEAST_RETRY_AFTER_S)
-    return _refuse(ResultCode.OVER_SHARE, after_s, wait_s, generator)
+        code = _choose_refusal_code(queued, wait_s, now)
+        return _make_refusal(code, wait_s - max_wait_s, wait_s, generator)
+    share_after_s = promise_tokens(bucket, ticket.tokens, now=now)
+    excess_s = wait_s - max_wait_s
+    delay_s = (
+        excess_s if share_after_s is None else max(share_after_s, MIN_RETRY_AFTER_S)
+    )
+    return _make_refusal(ResultCode.OVER_SHARE, delay_s, wait_s, generator)
 
 
-def _limit_wait_s(ticket: Ticket, now: float) -> float:
+def _compute_max_wait_s(ticket: Ticket, now: float) -> float:
     slack_s = ticket.deadline - now - ticket.service_s * ESTIMATE_MARGIN
-    most_s = MOST_WAIT_S[ticket.urgency]
+    max_wait_s = MAX_WAIT_S[ticket.urgency]
     if ticket.is_lent:
-        most_s = min(most_s, MOST_LENT_WAIT_S)
-    return max(0.0, min(most_s, slack_s / ESTIMATE_MARGIN))
+        max_wait_s = min(max_wait_s, MAX_LENT_WAIT_S)
+    return max(0.0, min(max_wait_s, slack_s / ESTIMATE_MARGIN))
 
 
-def _name_cause(ticket: Ticket, wait_s: float, now: float) -> ResultCode:
+def _choose_refusal_code(ticket: Ticket, wait_s: float, now: float) -> ResultCode:
     is_late = now + wait_s + ticket.service_s > ticket.deadline
     return ResultCode.DEADLINE_TOO_NEAR if is_late else ResultCode.QUEUE_FULL
 
 
-def _refuse(
-    code: ResultCode, after_s: float, wait_s: float, generator: random.Random
+def _make_refusal(
+    code: ResultCode, delay_s: float, wait_s: float, generator: random.Random
 ) -> Refusal:
-    spread_s = after_s * (1 + RETRY_SPREAD * generator.random())
-    retry_after_s = min(max(spread_s, LEAST_RETRY_AFTER_S), MOST_RETRY_AFTER_S)
+    jittered_s = delay_s * (1 + RETRY_JITTER * generator.random())
+    retry_after_s = min(max(jittered_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
     return Refusal(code=code, retry_after_s=retry_after_s, wait_s=wait_s)
--- a/packages/core/fulmarward_core/admission/decisions/_queue.py
+++ b/packages/core/fulmarward_core/admission/decisions/_queue.py
@@ -1,76 +1,79 @@
-"""The order in which waiting requests are served."""
+"""Weighted fair queueing of the waiting requests."""
 
 from collections import deque
 from collections.abc import Iterator
 
-from fulmarward_core.admission._types import FairQueue, Flow, Order, Ticket
+from fulmarward_core.admission._types import FairQueue, Flow, FlowSchedule, Ticket
 from fulmarward_core.declaration import Urgency
 
-#: Weights of the urgencies inside one team. Load: a nightly bulk of codings and
-#: lookups at once; harm: strict priority starves the bulk, none lets the van wait;
-#: reason: urgent work gets nearly all that it asks for, and bulk a part for ever.
+#: Weights of the urgencies within one team. When a nightly bulk job and interactive
+#: lookups coincide, strict priority would starve the bulk job and no priority would
+#: delay the lookups. With these weights urgent work gets nearly all that it requests,
+#: and bulk work always gets a part.
 URGENCY_WEIGHTS = {Urgency.URGENT: 16.0, Urgency.NORMAL: 4.0, Urgency.BULK: 1.0}
 
-#: Places for urgent tickets, as a multiple of the places for all. Load: saturation;
-#: harm: a lookup waits for its turn while a van waits; reason: a tenth is most of what
-#: urgent work asks for at once, and the engines' queues stay short.
-URGENT_PLACES = 1.1
+#: Places for urgent tickets, as a multiple of the places for all, so that urgent
+#: lookups do not queue under saturation. The extra tenth covers most of the urgent work
+#: at any time and keeps the queues of the engines short.
+URGENT_PLACES_FACTOR = 1.1
 
 
-def _push_flow(order: Order, key: object, weight: float, cost_s: float) -> None:
-    flow = order.flows.setdefault(key, Flow(weight=weight))
+def _push_flow(
+    schedule: FlowSchedule, key: object, weight: float, cost_s: float
+) -> None:
+    flow = schedule.flows.setdefault(key, Flow(weight=weight))
     flow.weight = weight
     if flow.backlog_s <= 0:
-        flow.tag = max(flow.tag, order.virtual)
+        flow.start_tag = max(flow.start_tag, schedule.virtual_time)
         flow.backlog_s = 0.0
     flow.backlog_s += cost_s
 
 
-def _pop_flow(order: Order, key: object, cost_s: float) -> None:
-    flow = order.flows[key]
-    order.virtual = max(order.virtual, flow.tag)
-    flow.tag += cost_s / flow.weight
+def _pop_flow(schedule: FlowSchedule, key: object, cost_s: float) -> None:
+    flow = schedule.flows[key]
+    schedule.virtual_time = max(schedule.virtual_time, flow.start_tag)
+    flow.start_tag += cost_s / flow.weight
     flow.backlog_s -= cost_s
 
 
-def _forget_idle(order: Order, key: object, *, is_empty: bool) -> None:
-    """Forget what an idle flow has used once all others have caught up with it."""
+def _drop_idle_flows(schedule: FlowSchedule, key: object, *, is_empty: bool) -> None:
+    """Drop idle flows whose start tag the virtual time has reached."""
     if is_empty:
-        order.flows[key].backlog_s = 0.0
-    done = [
+        schedule.flows[key].backlog_s = 0.0
+    idle = [
         name
-        for name, flow in order.flows.items()
-        if flow.backlog_s <= 0 and flow.tag <= order.virtual
+        for name, flow in schedule.flows.items()
+        if flow.backlog_s <= 0 and flow.start_tag <= schedule.virtual_time
     ]
-    for name in done:
-        del order.flows[name]
+    for name in idle:
+        del schedule.flows[name]
 
 
 def push_ticket(queue: FairQueue, ticket: Ticket, *, weight: float) -> None:
-    """Put a ticket in; `weight` is its team's, from the share that it was sold."""
+    """Queue a ticket; `weight` is that of its team, from the team's sold share."""
     tier = (ticket.is_lent, ticket.team)
-    place = (*tier, ticket.urgency)
-    urgencies = queue.urgencies.setdefault(tier, Order())
-    inner = URGENCY_WEIGHTS[ticket.urgency]
+    key = (*tier, ticket.urgency)
+    urgencies = queue.urgencies.setdefault(tier, FlowSchedule())
+    urgency_weight = URGENCY_WEIGHTS[ticket.urgency]
     _push_flow(queue.teams[ticket.is_lent], ticket.team, weight, ticket.service_s)
-    _push_flow(urgencies, ticket.urgency, inner, ticket.service_s)
-    queue.waiting.setdefault(place, deque()).append(ticket)
+    _push_flow(urgencies, ticket.urgency, urgency_weight, ticket.service_s)
+    queue.waiting.setdefault(key, deque()).append(ticket)
     queue.length += 1
 
 
-def _pick(order: Order, waiting: Iterator[object]) -> object:
-    return min(waiting, key=lambda key: (order.flows[key].tag, key))
+def _choose_flow(schedule: FlowSchedule, waiting: Iterator[object]) -> object:
+    return min(waiting, key=lambda key: (schedule.flows[key].start_tag, key))
 
 
-def _list_teams(queue: FairQueue, is_lent: bool, most: Urgency) -> list[str]:
+def _list_waiting_teams(queue: FairQueue, is_lent: bool, most: Urgency) -> list[str]:
     return [
         team
         for lent, team in queue.urgencies
-        if lent is is_lent and _list_urgencies(queue, is_lent, team, most)
+        if lent is is_lent and _list_waiting_urgencies(queue, is_lent, team, most)
     ]
 
 
-def _list_urgencies(
+def _list_waiting_urgencies(
     queue: FairQueue, is_lent: bool, team: str, most: Urgency = Urgency.BULK
 ) -> list[Urgency]:
     return [
@@ -81,52 +84,54 @@
 
 
 def pop_next(queue: FairQueue, *, running: int, places: float) -> Ticket | None:
-    """Take out the ticket that may start now, if there is one.
+    """Remove and return the ticket that may start now, if there is one.
 
-    Urgent tickets may use some places more than there are: engines put them first, so
-    they wait for the end of one running request there and not for a turn here.
+    Urgent tickets may exceed the places a little: engines serve them first, so they
+    wait there for one running request to end instead of queueing here.
     """
     if running < places:
         return pop_ticket(queue)
-    if running < places * URGENT_PLACES:
+    if running < places * URGENT_PLACES_FACTOR:
         return pop_ticket(queue, most=Urgency.URGENT)
     return None
 
 
 def pop_ticket(queue: FairQueue, *, most: Urgency = Urgency.BULK) -> Ticket | None:
-    """Take out the ticket whose turn it is among those of urgency `most` or sooner."""
+    """Remove and return the next ticket among those at least as urgent as `most`."""
     for is_lent in (False, True):
-        teams = _list_teams(queue, is_lent, most)
+        teams = _list_waiting_teams(queue, is_lent, most)
         if not teams:
             continue
-        team = _pick(queue.teams[is_lent], iter(teams))
-        order = queue.urgencies[is_lent, team]
-        urgency = _pick(order, iter(_list_urgencies(queue, is_lent, team, most)))
+        team = _choose_flow(queue.teams[is_lent], iter(teams))
+        schedule = queue.urgencies[is_lent, team]
+        urgency = _choose_flow(
+            schedule, iter(_list_waiting_urgencies(queue, is_lent, team, most))
+        )
         ticket = queue.waiting[is_lent, team, urgency].popleft()
         _pop_flow(queue.teams[is_lent], team, ticket.service_s)
-        _pop_flow(order, urgency, ticket.service_s)
-        _clean(queue, ticket)
+        _pop_flow(schedule, urgency, ticket.service_s)
+        _remove_empty(queue, ticket)
         return ticket
     return None
 
 
-def _clean(queue: FairQueue, ticket: Ticket) -> None:
-    """Drop what a leaving ticket leaves empty, so that memory stays bounded."""
+def _remove_empty(queue: FairQueue, ticket: Ticket) -> None:
+    """Remove the entries that a removed ticket left empty, to keep memory bounded."""
     tier = (ticket.is_lent, ticket.team)
-    place = (*tier, ticket.urgency)
+    key = (*tier, ticket.urgency)
     queue.length -= 1
-    is_empty = not queue.waiting[place]
-    _forget_idle(queue.urgencies[tier], ticket.urgency, is_empty=is_empty)
+    is_empty = not queue.waiting[key]
+    _drop_idle_flows(queue.urgencies[tier], ticket.urgency, is_empty=is_empty)
     if is_empty:
-        del queue.waiting[place]
-    is_silent = not _list_urgencies(queue, *tier)
-    _forget_idle(queue.teams[ticket.is_lent], ticket.team, is_empty=is_silent)
-    if is_silent:
+        del queue.waiting[key]
+    has_no_tickets = not _list_waiting_urgencies(queue, *tier)
+    _drop_idle_flows(queue.teams[ticket.is_lent], ticket.team, is_empty=has_no_tickets)
+    if has_no_tickets:
         del queue.urgencies[tier]
 
 
 def remove_ticket(queue: FairQueue, ticket: Ticket) -> bool:
-    """Take out a ticket that waits no more; return whether it was there."""
+    """Remove a ticket from the queue; return whether it was queued."""
     tier = (ticket.is_lent, ticket.team)
     waiting = queue.waiting.get((*tier, ticket.urgency))
     if waiting is None or ticket not in waiting:
@@ -134,12 +139,12 @@
     waiting.remove(ticket)
     queue.teams[ticket.is_lent].flows[ticket.team].backlog_s -= ticket.service_s
     queue.urgencies[tier].flows[ticket.urgency].backlog_s -= ticket.service_s
-    _clean(queue, ticket)
+    _remove_empty(queue, ticket)
     return True
 
 
 def drop_late(queue: FairQueue, *, now: float) -> list[Ticket]:
-    """Take out at once all that can no longer make its deadline or waited too long."""
+    """Remove and return tickets that waited too long or cannot meet the deadline."""
     late = [
         ticket
         for waiting in queue.waiting.values()
@@ -152,29 +157,37 @@
 
 
 def estimate_ahead_s(queue: FairQueue, ticket: Ticket, *, weight: float) -> float:
-    """Return the seconds of service that go before `ticket` if it came now.
+    """Return the seconds of service ahead of `ticket` if it were queued now.
 
-    While a flow is served its own backlog, another is served as much in proportion
-    to its weight, or all that it has; lent work also waits for all sold work.
+    While the backlog of a flow is served, each other flow is served in proportion to
+    its weight, up to its whole backlog. Lent work also waits for all sold work.
     """
     tier = (ticket.is_lent, ticket.team)
-    inner = queue.urgencies.get(tier, Order())
-    own_s = _share_ahead_s(inner, ticket.urgency, URGENCY_WEIGHTS[ticket.urgency], 0.0)
-    order = queue.teams[ticket.is_lent]
-    ahead_s = _share_ahead_s(order, ticket.team, weight, own_s)
+    schedule = queue.urgencies.get(tier, FlowSchedule())
+    own_s = _estimate_flow_ahead_s(
+        schedule, ticket.urgency, URGENCY_WEIGHTS[ticket.urgency], 0.0
+    )
+    team_schedule = queue.teams[ticket.is_lent]
+    ahead_s = _estimate_flow_ahead_s(team_schedule, ticket.team, weight, own_s)
     if ticket.is_lent:
         ahead_s += sum(flow.backlog_s for flow in queue.teams[False].flows.values())
     return ahead_s
 
 
-def _share_ahead_s(order: Order, key: object, weight: float, own_s: float) -> float:
-    own = order.flows.get(key)
-    lead = max(0.0, own.tag - order.virtual) if own else 0.0
+def _estimate_flow_ahead_s(
+    schedule: FlowSchedule, key: object, weight: float, own_s: float
+) -> float:
+    own = schedule.flows.get(key)
+    own_offset = max(0.0, own.start_tag - schedule.virtual_time) if own else 0.0
     own_s = own_s or (own.backlog_s if own else 0.0)
     ahead_s = own_s
-    for name, flow in order.flows.items():
+    for name, flow in schedule.flows.items():
         if name == key:
             continue
-        due = (lead + own_s / weight - max(0.0, flow.tag - order.virtual)) * flow.weight
+        due = (
+            own_offset
+            + own_s / weight
+            - max(0.0, flow.start_tag - schedule.virtual_time)
+        ) * flow.weight
         ahead_s += min(flow.backlog_s, max(0.0, due))
     return ahead_s
--- a/packages/core/fulmarward_core/admission/tests/test_queue.py
+++ b/packages/core/fulmarward_core/admission/tests/test_queue.py
@@ -45,18 +45,18 @@
 
 class FairQueueTest(unittest.TestCase):
     @given(_TICKETS)
-    def test_every_ticket_comes_out_once_and_nothing_stays(self, items):
+    def test_every_ticket_leaves_once_and_no_state_remains(self, items):
         queue = FairQueue()
         tickets = _fill(queue, items)
-        gone = {ticket.request for ticket in drop_late(queue, now=10.0)}
+        removed = {ticket.request for ticket in drop_late(queue, now=10.0)}
         for ticket in tickets[::5]:
             if remove_ticket(queue, ticket):
-                gone.add(ticket.request)
+                removed.add(ticket.request)
         popped = []
         while (ticket := pop_ticket(queue)) is not None:
             popped.append(ticket)
-            gone.add(ticket.request)
-        self.assertEqual(len(gone), len(tickets))
+            removed.add(ticket.request)
+        self.assertEqual(len(removed), len(tickets))
         self.assertEqual(queue.length, 0)
         self.assertEqual(queue.waiting, {})
         self.assertEqual(queue.urgencies, {})
@@ -68,8 +68,10 @@
         queue = FairQueue()
         costs = {"first": (first_s, weight), "second": (second_s, 1.0)}
         for number in range(200):
-            for team, (cost_s, its_weight) in costs.items():
-                push_ticket(queue, _make(team, number, cost_s), weight=its_weight)
+            for team, (cost_s, team_weight) in costs.items():
+                push_ticket(
+                    queue, _make_ticket(team, number, cost_s), weight=team_weight
+                )
         served = {"first": 0.0, "second": 0.0}
         bound = first_s / weight + second_s
         for _ in range(150):
@@ -78,32 +80,34 @@
             gap = abs(served["first"] / weight - served["second"])
             self.assertLessEqual(gap, bound + 1e-6)
 
-    def test_only_urgent_work_uses_the_places_kept_for_it(self):
+    def test_only_urgent_work_uses_the_extra_places(self):
         queue = FairQueue()
         for number, urgency in enumerate(Urgency):
-            push_ticket(queue, _make("team", number, 1.0, urgency), weight=1.0)
+            push_ticket(queue, _make_ticket("team", number, 1.0, urgency), weight=1.0)
         self.assertIsNone(pop_next(queue, running=11, places=10.0))
         self.assertIs(pop_next(queue, running=10, places=10.0).urgency, Urgency.URGENT)
         self.assertIsNone(pop_next(queue, running=10, places=10.0))
         self.assertIs(pop_next(queue, running=9, places=10.0).urgency, Urgency.NORMAL)
 
-    def test_bulk_is_served_beside_endless_urgent_work(self):
+    def test_bulk_is_not_starved_by_urgent_work(self):
         queue = FairQueue()
-        push_ticket(queue, _make("team", 0, 1.0, Urgency.BULK), weight=1.0)
+        push_ticket(queue, _make_ticket("team", 0, 1.0, Urgency.BULK), weight=1.0)
         for number in range(1, 40):
-            push_ticket(queue, _make("team", number, 1.0, Urgency.URGENT), weight=1.0)
+            push_ticket(
+                queue, _make_ticket("team", number, 1.0, Urgency.URGENT), weight=1.0
+            )
         order = [pop_ticket(queue).urgency for _ in range(10)]
         self.assertEqual(order.count(Urgency.BULK), 1)
-        push_ticket(queue, _make("team", 50, 1.0, Urgency.BULK), weight=1.0)
+        push_ticket(queue, _make_ticket("team", 50, 1.0, Urgency.BULK), weight=1.0)
         self.assertIs(pop_ticket(queue).urgency, Urgency.URGENT)
 
     @given(_TICKETS, st.sampled_from(sorted(_WEIGHTS)), st.sampled_from(list(Urgency)))
-    def test_what_goes_ahead_is_estimated_within_one_ticket_of_each(
+    def test_work_ahead_is_estimated_within_one_ticket_per_flow(
         self, items, team, urgency
     ):
         queue = FairQueue()
         _fill(queue, items)
-        own = _make(team, 999, 1.0, urgency)
+        own = _make_ticket(team, 999, 1.0, urgency)
         estimate = estimate_ahead_s(queue, own, weight=_WEIGHTS[team])
         push_ticket(queue, own, weight=_WEIGHTS[team])
         ahead = 0.0
@@ -113,7 +117,7 @@
         self.assertLessEqual(abs(ahead - estimate), slack)
 
 
-def _make(team, number, service_s, urgency=Urgency.NORMAL):
+def _make_ticket(team, number, service_s, urgency=Urgency.NORMAL):
     return Ticket(
         request=str(number),
         team=team,
