--- a/packages/core/fulmarward_core/queueing/__init__.py
+++ b/packages/core/fulmarward_core/queueing/__init__.py
@@ -1,4 +1,4 @@
-"""Which waiting request is served next, and when a rejected caller returns."""
+"""Order of the waiting requests, and the retry delay of rejected callers."""
 
 from fulmarward_core.queueing.decisions import (
     LATE_KV_SHARE,
--- a/packages/core/fulmarward_core/queueing/decisions.py
+++ b/packages/core/fulmarward_core/queueing/decisions.py
@@ -1,32 +1,32 @@
-"""The order in which waiting requests are served while there is no room for all.
+"""The order in which waiting requests are served when the fleet is overloaded.
 
-It answers a load above the capacity of the fleet. Served in order of arrival, every
-request would wait until it is late, and no caller would be answered in time. Requests
-that can still be answered in time go first; late ones take what is left, up to a lower
-share of the capacity, so that arrivals at any other instance find room without asking.
+In order of arrival, every request would wait until it is late, and no caller would be
+answered in time. Therefore requests that can still meet their objective are served
+first. Late requests get the rest, up to a lower share of the capacity, so that new
+arrivals at any other instance find room without coordination.
 """
 
 from collections.abc import Hashable
 from dataclasses import dataclass
 from enum import IntEnum
 
-#: Share of the objective that a request may have used up and still be answered in time.
-#: The rest is for its first event.
+#: Share of its objective that a request may spend waiting and still count as on time.
+#: The rest is needed for its first event.
 ON_TIME_SHARE = 0.65
 
-#: Share of the KV cache that is planned with which late requests may fill.
+#: Share of the planned KV cache that late requests may fill.
 LATE_KV_SHARE = 0.85
 
-#: Seconds after which a rejected caller should return: drawn from this range, so that
-#: callers who were rejected together do not return together.
+#: Range from which the retry delay of a rejected caller is drawn, in seconds, so that
+#: callers that were rejected together do not retry together.
 MIN_RETRY_AFTER_S = 2.0
 MAX_RETRY_AFTER_S = 4.0
 
 
 class WaitClass(IntEnum):
-    """Classes of waiting requests, the first one served first."""
+    """Classes of waiting requests, in the order in which they are served."""
 
-    #: The answer has started: the caller leaves if it does not go on.
+    #: The answer has started; the caller disconnects if it does not continue.
     STARTED = 0
     #: The answer can still start within the objective.
     ON_TIME = 1
@@ -44,28 +44,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WaitingRequest:
-    """A request that waits for room."""
+    """A request that waits for capacity."""
 
-    #: Identifies it in its queue.
+    #: Unique in its queue.
     key: Hashable
-    #: Urgency; 0 goes first within a class.
+    #: 0 is served first within a class.
     urgency: int
-    #: When it arrived, seconds on the steady clock.
+    #: Time of arrival, in seconds on the monotonic clock.
     arrived_at: float
-    #: Seconds to the first event that users expect.
+    #: Target time to the first event, in seconds.
     objective_s: float
-    #: Whether its answer has started.
+    #: Whether a part of its answer was already sent.
     is_started: bool
 
     def __post_init__(self) -> None:
         if self.objective_s < 0:
             raise ValueError(
-                f"expected an objective of 0 seconds or more, found {self.objective_s}"
+                f"objective_s must not be negative, found {self.objective_s}"
             )
 
 
 def classify_request(request: WaitingRequest, *, now: float) -> WaitClass:
-    """Return the class of a request at this moment."""
+    """Return the class of a request at time `now`."""
     if request.is_started:
         return WaitClass.STARTED
     waited_s = now - request.arrived_at
@@ -79,12 +79,12 @@
 
 
 def choose_retry_after_s(draw: float) -> float:
-    """Return when a rejected caller should return; `draw` is uniform in [0, 1)."""
+    """Return the retry delay of a rejected caller; `draw` is uniform in [0, 1)."""
     return MIN_RETRY_AFTER_S + (MAX_RETRY_AFTER_S - MIN_RETRY_AFTER_S) * draw
 
 
 class WaitQueue:
-    """The requests that wait at one instance for one service."""
+    """The requests for one service that wait at one instance."""
 
     def __init__(self) -> None:
         self._waiting: dict[Hashable, WaitingRequest] = {}
@@ -93,17 +93,17 @@
         return len(self._waiting)
 
     def add(self, request: WaitingRequest) -> None:
-        """Let a request wait; adding it again changes nothing."""
+        """Add a request to the queue; adding it again has no effect."""
         self._waiting.setdefault(request.key, request)
 
     def remove(self, request: WaitingRequest) -> None:
-        """Take a request out, whether it waits or not."""
+        """Remove a request from the queue if it is there."""
         self._waiting.pop(request.key, None)
 
     def is_next(self, request: WaitingRequest, *, now: float) -> bool:
-        """Return whether no waiting request goes before this one.
+        """Return whether no waiting request is served before this one.
 
-        It need not wait itself: an arrival asks before it is added.
+        The request need not be in the queue: new arrivals check before they are added.
         """
         rank = _rank(request, now)
         return not any(_rank(other, now) < rank for other in self._waiting.values())
--- a/packages/core/fulmarward_core/queueing/tests/load.py
+++ b/packages/core/fulmarward_core/queueing/tests/load.py
@@ -1,4 +1,4 @@
-"""Plays callers before instances that share the places of a fleet, in played time."""
+"""Simulation of callers, and of instances that share the places of a fleet."""
 
 import heapq
 import random
@@ -15,9 +15,9 @@
     find_kv_share,
 )
 
-#: Seconds of a step of played time, and by which news of others' requests lags.
+#: Length of a simulation step, and delay until other instances' requests are known.
 STEP_S = 0.04
-LAG_S = 0.2
+REPORT_LAG_S = 0.2
 
 OBJECTIVE_S = 0.6
 DEADLINE_S = 20.0
@@ -30,66 +30,66 @@
 
 @dataclass(kw_only=True)
 class Caller:
-    """A caller, who returns once after a rejection."""
+    """A caller, which retries once after a rejection."""
 
     number: int
-    first_at: float
+    first_attempt_at: float
     arrived_at: float
     service_s: float
-    tries: int = 1
+    attempts: int = 1
 
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What the callers got."""
+    """Results of the callers."""
 
     on_time: int = 0
     late: int = 0
     rejected: int = 0
-    #: Callers answered in time, and all of them, by second of their first try.
+    #: Callers answered in time, and all callers, by the second of their first attempt.
     on_time_at: Counter = field(default_factory=Counter)
-    asked_at: Counter = field(default_factory=Counter)
+    total_at: Counter = field(default_factory=Counter)
 
     @property
-    def asked(self):
+    def total(self):
         return self.on_time + self.late + self.rejected
 
     @property
     def on_time_share(self):
-        return self.on_time / self.asked
+        return self.on_time / self.total
 
     @property
     def served_share(self):
-        return (self.on_time + self.late) / self.asked
+        return (self.on_time + self.late) / self.total
 
     def find_worst_share(self, width_s=4):
-        """Return the least share answered in time in a span of that many seconds."""
-        spans = range(max(self.asked_at) - width_s + 2)
+        """Return the lowest share answered in time within any span of `width_s`."""
+        spans = range(max(self.total_at) - width_s + 2)
         return min(
             sum(self.on_time_at[s + i] for i in range(width_s))
-            / sum(self.asked_at[s + i] for i in range(width_s))
+            / sum(self.total_at[s + i] for i in range(width_s))
             for s in spans
         )
 
 
 class Policy(Protocol):
-    """How one instance treats those that wait."""
+    """How an instance orders and limits its waiting callers."""
 
     def arrive(self, caller: Caller, now: float) -> None:
-        """Take in a caller."""
+        """Register a caller."""
 
     def find_limit(self, caller: Caller, now: float) -> float:
-        """Return the share of the capacity that may be filled for a caller."""
+        """Return the share of the capacity that a caller may fill."""
 
     def find_retry_after_s(self) -> float:
-        """Return when a rejected caller returns."""
+        """Return the retry delay of a rejected caller."""
 
     def sort(self, waiting: list[Caller], now: float) -> list[Caller]:
-        """Return those that wait, the next one first."""
+        """Return the waiting callers in the order in which they are served."""
 
 
-class InOrderOfArrival:
-    """The plain policy: whoever came first goes first, up to the same limit."""
+class ArrivalOrderPolicy:
+    """Baseline: callers are served in order of arrival, with one limit for all."""
 
     def arrive(self, caller, now):
         pass
@@ -104,8 +104,8 @@
         return sorted(waiting, key=lambda caller: caller.arrived_at)
 
 
-class OnTimeFirst:
-    """The policy of the slice."""
+class OnTimeFirstPolicy:
+    """The policy of `fulmarward_core.queueing`."""
 
     def __init__(self, rng):
         self._rng = rng
@@ -131,16 +131,16 @@
         queue = WaitQueue()
         for caller in waiting:
             queue.add(self._requests[caller.number])
-        left, ordered = list(waiting), []
-        while left:
-            following = next(
+        remaining, ordered = list(waiting), []
+        while remaining:
+            next_caller = next(
                 caller
-                for caller in left
+                for caller in remaining
                 if queue.is_next(self._requests[caller.number], now=now)
             )
-            ordered.append(following)
-            left.remove(following)
-            queue.remove(self._requests[following.number])
+            ordered.append(next_caller)
+            remaining.remove(next_caller)
+            queue.remove(self._requests[next_caller.number])
         return ordered
 
 
@@ -151,81 +151,92 @@
         self._sent_at = deque()
 
     def count_sent(self, now):
-        while self._sent_at and self._sent_at[0] < now - LAG_S:
+        while self._sent_at and self._sent_at[0] < now - REPORT_LAG_S:
             self._sent_at.popleft()
         return len(self._sent_at)
 
-    def note_sent(self, now):
+    def record_sent(self, now):
         self._sent_at.append(now)
 
 
-def play_load(
+def simulate_load(
     make_policy: Callable[[random.Random], Policy],
     *,
     seed: int,
     find_places: Callable[[float], float],
     find_rate: Callable[[float], float],
-    for_s: float,
+    duration_s: float,
 ) -> Outcome:
-    """Return what callers got while they came for so many seconds.
+    """Return the results of callers that arrive during `duration_s` seconds.
 
-    Each instance knows what runs by news that lag, and what it sent since.
+    Each instance knows the number of running requests with a delay, and adds the
+    requests that it sent itself in the meantime.
     """
     rng = random.Random(seed)
     instances = [_Instance(make_policy(rng)) for _ in range(INSTANCES)]
     outcome = Outcome()
     running: list[float] = []
-    known: deque[int] = deque(maxlen=round(LAG_S / STEP_S) + 1)
-    returning: list[tuple[float, int, Caller]] = []
+    running_history: deque[int] = deque(maxlen=round(REPORT_LAG_S / STEP_S) + 1)
+    retrying: list[tuple[float, int, Caller]] = []
     number, now = 0, 0.0
-    while now < for_s + 2 * DEADLINE_S / 3:
+    while now < duration_s + 2 * DEADLINE_S / 3:
         while running and running[0] <= now:
             heapq.heappop(running)
         arrived = []
-        # Ten chances a step: close to a Poisson process.
-        chance = find_rate(now) * STEP_S / 10 if now < for_s else 0.0
+        # Ten draws per step approximate a Poisson process.
+        chance = find_rate(now) * STEP_S / 10 if now < duration_s else 0.0
         for _ in range(sum(rng.random() < chance for _ in range(10))):
             number += 1
             service_s = max(0.5, rng.gauss(1.6, 0.4))
             arrived.append(
-                Caller(number=number, first_at=now, arrived_at=now, service_s=service_s)
+                Caller(
+                    number=number,
+                    first_attempt_at=now,
+                    arrived_at=now,
+                    service_s=service_s,
+                )
             )
-            outcome.asked_at[int(now)] += 1
-        while returning and returning[0][0] <= now:
-            arrived.append(heapq.heappop(returning)[2])
+            outcome.total_at[int(now)] += 1
+        while retrying and retrying[0][0] <= now:
+            arrived.append(heapq.heappop(retrying)[2])
         for caller in arrived:
             caller.arrived_at = now
             instance = rng.choice(instances)
             instance.policy.arrive(caller, now)
             instance.waiting.append(caller)
-        places, before = find_places(now), known[0] if known else 0
+        places, known_running = (
+            find_places(now),
+            running_history[0] if running_history else 0,
+        )
         for instance in rng.sample(instances, len(instances)):
             waiting = instance.policy.sort(instance.waiting, now)
             while waiting:
                 limit = places * instance.policy.find_limit(waiting[0], now)
-                if before + instance.count_sent(now) + 1 > limit:
+                if known_running + instance.count_sent(now) + 1 > limit:
                     break
                 if len(running) + 1 > places:
                     break
                 caller = waiting.pop(0)
-                instance.note_sent(now)
+                instance.record_sent(now)
                 heapq.heappush(running, now + caller.service_s)
-                is_on_time = now + FIRST_EVENT_S - caller.first_at <= OBJECTIVE_S
+                is_on_time = (
+                    now + FIRST_EVENT_S - caller.first_attempt_at <= OBJECTIVE_S
+                )
                 outcome.on_time += is_on_time
                 outcome.late += not is_on_time
-                outcome.on_time_at[int(caller.first_at)] += is_on_time
+                outcome.on_time_at[int(caller.first_attempt_at)] += is_on_time
             instance.waiting = []
             for caller in waiting:
                 if now - caller.arrived_at < TIMEOUT_S:
                     instance.waiting.append(caller)
-                elif caller.tries > 1:
+                elif caller.attempts > 1:
                     outcome.rejected += 1
                 else:
-                    caller.tries += 1
-                    left_s = caller.first_at + DEADLINE_S - now
+                    caller.attempts += 1
+                    left_s = caller.first_attempt_at + DEADLINE_S - now
                     retry_s = min(instance.policy.find_retry_after_s(), left_s / 3)
                     entry = now + retry_s, caller.number, caller
-                    heapq.heappush(returning, entry)
-        known.append(len(running))
+                    heapq.heappush(retrying, entry)
+        running_history.append(len(running))
         now += STEP_S
     return outcome
