--- a/packages/core/fulmarward_core/quotas/__init__.py
+++ b/packages/core/fulmarward_core/quotas/__init__.py
@@ -1,10 +1,10 @@
-"""What each instance may use of what all of them share."""
+"""Shares of single instances in limits that hold for the whole fleet."""
 
 from fulmarward_core.quotas._retries import (
     UNSTARTED_SHARE,
     RetryBudget,
-    RetryCount,
-    RetryTurn,
+    RetryDecision,
+    RetryUsage,
 )
 from fulmarward_core.quotas._shares import RESERVE_SHARE, compute_share
 
@@ -12,7 +12,7 @@
     "RESERVE_SHARE",
     "UNSTARTED_SHARE",
     "RetryBudget",
-    "RetryCount",
-    "RetryTurn",
+    "RetryUsage",
+    "RetryDecision",
     "compute_share",
 ]
--- a/packages/core/fulmarward_core/quotas/_shares.py
+++ b/packages/core/fulmarward_core/quotas/_shares.py
@@ -1,21 +1,22 @@
-"""The share of one instance in what all instances use together.
+"""The share of one instance in a limit that holds for all instances together.
 
-It answers a load that few instances serve while many could: callers are sent to some
-of them only, so that an equal share for each would leave most of it unused, while the
-ones that serve reject requests and cut answers. Nothing is asked or agreed on: each
-instance takes its share by the instances that it knows to be listed.
+Callers are sent only to some instances. With equal shares, most of the limit would be
+unused while the instances that serve callers reject requests and abort answers.
+Instances do not coordinate: each computes its share from the instances that it knows
+to be listed.
 """
 
-#: Share that is split over all instances, listed for callers or not. It is for those
-#: that callers still use, and for views of the list that differ for a moment.
+#: Share that is split over all instances, whether they are listed for callers or not.
+#: It covers instances that callers still use, and short-lived differences between the
+#: lists that instances know.
 RESERVE_SHARE = 0.25
 
 
 def compute_share(*, is_listed: bool, listed: int, instances: int) -> float:
     """Return the share of an instance, between 0 and 1.
 
-    `listed` counts the instances that callers are sent to, `instances` all of them,
-    this one included. The shares of all add up to 1 where they know the same list.
+    `listed` is the number of instances that callers are sent to, and `instances` that
+    of all, including this one. The shares add up to 1 if all know the same list.
     """
     if not listed:
         return 1 / max(1, instances)
