--- a/packages/core/fulmarward_core/paths/__init__.py
+++ b/packages/core/fulmarward_core/paths/__init__.py
@@ -1,4 +1,4 @@
-"""Through which targets a request runs the layers of its model."""
+"""Choice of the path of targets that run the layers of a model for a request."""
 
 from fulmarward_core.paths.decisions import (
     DIRECT_TERMS,
--- a/packages/core/fulmarward_core/paths/tests/stages.py
+++ b/packages/core/fulmarward_core/paths/tests/stages.py
@@ -1,4 +1,4 @@
-"""Stages of tests: each with what runs there, chosen among in one call."""
+"""Test helpers: stages with a given load, and the choice of a path among them."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LoadedStage(Stage):
-    """A stage, what runs there, and whether it may take new work."""
+    """A stage with its load, and whether it may get new work."""
 
     kv_reserved: float = 0.0
     running: int = 0
@@ -18,7 +18,7 @@
 
 
 def read_stage(stage):
-    """Return what a stage says of itself."""
+    """Return the load of a stage, or `None` if it must not be used."""
     if not stage.is_usable:
         return None
     return Occupancy(
@@ -30,6 +30,6 @@
 
 
 def choose_path(engine, stages, request):
-    """Return the path that is chosen among loaded stages."""
+    """Return the path chosen among loaded stages."""
     index = StageIndex(engine=engine, stages=stages)
     return index.choose_path(request, read=read_stage)
--- a/packages/core/fulmarward_core/paths/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/paths/tests/test_decisions.py
@@ -15,7 +15,10 @@
     StageIndex,
     compute_preference,
 )
-from fulmarward_core.paths.tests.plain import choose_path_plainly, find_cheapest_plainly
+from fulmarward_core.paths.tests.exhaustive import (
+    choose_path_exhaustively,
+    find_cheapest_exhaustively,
+)
 from fulmarward_core.paths.tests.stages import LoadedStage, choose_path, read_stage
 
 _REQUEST = PathRequest(prompt=800, answer=150, data_centre="a")
@@ -74,31 +77,31 @@
 )
 
 
-def _draw_stages(drawn, luck):
+def _draw_stages(drawn, rng):
     return [
         make_stage(
             f"t{place}",
             start,
             min(ENGINE.layers, start + size),
             centre=centre,
-            kind=luck.choice(sorted(KINDS)),
+            kind=rng.choice(sorted(KINDS)),
             kv_reserved=float(reserved),
-            kv_capacity=luck.choice([1e6, 6e6]),
-            running=luck.randrange(20),
-            first_running=luck.choice([0, ENGINE.slots]),
-            pace=luck.choice([1.0, 1.0, 12.0]),
-            preference=luck.choice([1.0, 1.3]),
-            is_usable=luck.random() < 0.9,
+            kv_capacity=rng.choice([1e6, 6e6]),
+            running=rng.randrange(20),
+            first_running=rng.choice([0, ENGINE.slots]),
+            pace=rng.choice([1.0, 1.0, 12.0]),
+            preference=rng.choice([1.0, 1.3]),
+            is_usable=rng.random() < 0.9,
         )
         for place, (start, size, centre, reserved) in enumerate(drawn)
     ]
 
 
-class CostOfChoiceTest(unittest.TestCase):
-    def test_time_at_a_target_is_estimated_once_not_at_each_layer(self):
-        # Each start of an answer chooses a path among all targets of its service: 2.8
-        # to 3.8 ms with 99 in a fleet of 79 instances, where each target was looked at
-        # again from each layer, and its time worked out from each that it holds.
+class ChoiceCostTest(unittest.TestCase):
+    def test_each_target_is_evaluated_once(self):
+        # Each answer chooses a path among all targets of its service. With 99 targets
+        # and 79 instances this took 2.8 to 3.8 ms when each target was evaluated again
+        # from each layer.
         stages = [
             stage
             for centre in "abcd"
@@ -111,8 +114,8 @@
         calls = count_calls(lambda: StageIndex(engine=ENGINE, stages=stages))
         self.assertLess(calls, 12 * len(stages))
 
-    def test_choice_does_not_grow_with_data_centres_that_no_path_goes_through(self):
-        """Guards against a choice that costs what the whole fleet costs."""
+    def test_cost_does_not_grow_with_unused_data_centres(self):
+        """Guards against a cost of a choice that grows with the whole fleet."""
         near = [
             stage
             for step in (5, 8, 10)
@@ -128,10 +131,10 @@
 
     @settings(max_examples=300)
     @given(_STAGES, _DRAWN_REQUESTS, st.randoms(use_true_random=False), st.booleans())
-    def test_path_is_the_one_that_trying_all_at_each_layer_gives(
-        self, drawn, request, luck, has_first
+    def test_path_equals_that_of_exhaustive_search(
+        self, drawn, request, rng, has_first
     ):
-        stages = _draw_stages(drawn, luck)
+        stages = _draw_stages(drawn, rng)
         if has_first and stages:
             stage = stages[0]
             first = Hop(target=stage.target, address=stage.address, layers=stage.layers)
@@ -139,30 +142,30 @@
         expected = None
         if request.first is None and not request.far.may_cross_for_cost:
             within = replace(request, may_cross=False)
-            expected = choose_path_plainly(ENGINE, stages, within)
+            expected = choose_path_exhaustively(ENGINE, stages, within)
         if expected is None:
-            expected = choose_path_plainly(ENGINE, stages, request)
+            expected = choose_path_exhaustively(ENGINE, stages, request)
         self.assertEqual(choose_path(ENGINE, stages, request), expected)
 
     @settings(max_examples=100)
     @given(_STAGES, _DRAWN_REQUESTS, st.randoms(use_true_random=False))
-    def test_path_crosses_only_where_it_costs_less_than_any_that_does_not(
-        self, drawn, request, luck
+    def test_path_crosses_data_centres_only_if_that_is_cheaper(
+        self, drawn, request, rng
     ):
-        """Guards against prompts in the pipe that all share, and against slow paths."""
-        stages = _draw_stages(drawn, luck)
+        """Guards against needless transfers on the shared link, and slow paths."""
+        stages = _draw_stages(drawn, rng)
         centres = {stage.target: stage.data_centre for stage in stages}
         request = replace(request, may_cross=True)
         path = choose_path(ENGINE, stages, request)
         within = replace(request, may_cross=False)
-        best = find_cheapest_plainly(ENGINE, stages, within)
+        best = find_cheapest_exhaustively(ENGINE, stages, within)
         is_crossing = (
             path is not None and len({centres[hop.target] for hop in path}) > 1
         )
         if best is None:
             self.assertTrue(path is None or is_crossing)
             return
-        cheapest = find_cheapest_plainly(ENGINE, stages, request)
+        cheapest = find_cheapest_exhaustively(ENGINE, stages, request)
         may_cross = request.far.may_cross_for_cost
         self.assertEqual(is_crossing, may_cross and cheapest.cost < best.cost)
 
@@ -195,23 +198,22 @@
         self.assertEqual(position, ENGINE.layers)
         self.assertEqual(len(set(_list_targets(path))), len(path))
 
-    def test_own_data_centre_is_taken_when_all_are_idle(self):
+    def test_local_data_centre_is_preferred_when_all_are_idle(self):
         stages = make_chain("b", "b") + make_chain("a", "a")
         path = choose_path(ENGINE, stages, _REQUEST)
         self.assertTrue(all(name.startswith("a") for name in _list_targets(path)))
 
-    def test_whole_path_elsewhere_goes_before_one_that_crosses(self):
-        # With one engine of the own data centre lost, a path that went around it
-        # through another data centre held the pipe twice for 37 ms, and every other
-        # request waited behind it.
+    def test_path_within_a_remote_data_centre_is_preferred_to_a_crossing_one(self):
+        # After a local engine failed, a path rerouted it through another data centre
+        # occupied the shared link twice for 37 ms, and all other requests waited.
         stages = make_chain("b", "b") + [
             stage for stage in make_chain("a", "a") if stage.target != "a40"
         ]
         path = choose_path(ENGINE, stages, _REQUEST)
         self.assertTrue(all(name.startswith("b") for name in _list_targets(path)))
 
-    def test_fast_path_that_crosses_a_wide_pipe_is_taken(self):
-        """Guards against answers that take longer than the fleet needs for them."""
+    def test_fast_crossing_path_is_chosen_on_a_fast_link(self):
+        """Guards against using slow targets although a fast path is available."""
         engine = replace(ENGINE, pipe_mbps=1e6)
         slow = make_chain("a", "a")
         fast = [
@@ -233,9 +235,9 @@
             path = choose_path(other, slow + fast, request)
             self.assertNotIn("fast40", _list_targets(path))
 
-    def test_far_data_centre_that_is_heard_through_hubs_is_left_to_its_own(self):
+    def test_data_centre_known_through_hubs_is_not_preferred_for_speed(self):
         """Guards against all data centres filling the fastest targets at once."""
-        # A token takes three quarters of the time there.
+        # The remote targets need three quarters of the time per token.
         slow = make_chain("a", "a", pace=4 / 3)
         fast = make_chain("b", "b")
         for far, expected in ((DIRECT_TERMS, "b"), (HUB_TERMS, "a")):
@@ -243,7 +245,7 @@
                 path = choose_path(ENGINE, slow + fast, replace(_REQUEST, far=far))
                 self.assertEqual(_list_targets(path)[0][0], expected)
 
-    def test_path_that_crosses_is_taken_when_there_is_no_other(self):
+    def test_crossing_path_is_chosen_if_there_is_no_other(self):
         own = [s for s in make_chain("a", "a") if s.target != "a40"]
         other = [s for s in make_chain("b", "b") if s.target == "b40"]
         path = choose_path(ENGINE, own + other, _REQUEST)
@@ -251,7 +253,7 @@
         within = replace(_REQUEST, may_cross=False)
         self.assertIsNone(choose_path(ENGINE, own + other, within))
 
-    def test_what_may_not_be_used_is_not_used(self):
+    def test_unusable_targets_are_not_chosen(self):
         base = make_chain("a", "a")
         cases = {
             "suspect or leaving": [replace(base[3], is_usable=False)],
@@ -264,34 +266,34 @@
         avoiding = replace(_REQUEST, avoided=frozenset({"a24"}))
         self.assertIsNone(choose_path(ENGINE, base, avoiding))
 
-    def test_first_target_with_all_slots_taken_may_still_be_a_later_one(self):
+    def test_target_without_free_slots_can_still_be_a_later_hop(self):
         base = make_chain("a", "a")
         full = [replace(stage, first_running=ENGINE.slots) for stage in base]
         self.assertIsNone(choose_path(ENGINE, full, _REQUEST))
         self.assertIsNotNone(choose_path(ENGINE, base[:1] + full[1:], _REQUEST))
 
-    def test_way_around_keeps_the_first_hop(self):
+    def test_reroute_keeps_the_first_hop(self):
         stages = make_chain("a", "a") + make_chain("x", "a")
         first = Hop(
             target="a0", address="10.0.0.1:a0", layers=LayerRange(start=0, end=8)
         )
-        around = replace(_REQUEST, first=first, avoided=frozenset({"a8", "a16"}))
-        path = choose_path(ENGINE, stages, around)
+        rerouted = replace(_REQUEST, first=first, avoided=frozenset({"a8", "a16"}))
+        path = choose_path(ENGINE, stages, rerouted)
         self.assertEqual(path[0], first)
         self.assertEqual(_list_targets(path)[1:3], ["x8", "x16"])
 
-    def test_slow_target_is_led_around(self):
-        # A target takes twelve times as long and answers all the same. Every stream
-        # waited for it, and callers left before their first event.
+    def test_slow_target_is_avoided(self):
+        # A target becomes twelve times slower but still answers. Every stream waited
+        # for it, and callers disconnected before their first event.
         slow, *rest = make_chain("a", "a")
         stages = [replace(slow, pace=12.0), *rest, make_stage("b0", 0, 8, running=9)]
         path = choose_path(ENGINE, stages, _REQUEST)
         self.assertEqual(_list_targets(path)[0], "b0")
 
-    def test_instances_that_know_the_same_spread_over_like_paths(self):
-        # A data centre loses a part of its model. 79 instances send what ran there
-        # elsewhere in the same moment; they all chose one path, filled its memory
-        # in 0.2 s and were refused there, while its like stood empty.
+    def test_instances_spread_over_equivalent_paths(self):
+        # A data centre loses a part of its model, and 79 instances reroute its requests
+        # at the same moment. They all chose one path, filled its memory in 0.2 s and
+        # were refused there, while equivalent paths were idle.
         used = Counter()
         for number in range(79):
             stages = [
@@ -306,7 +308,7 @@
         self.assertEqual(len(used), 4)
         self.assertLess(max(used.values()), 79 / 2)
 
-    def test_load_goes_to_the_emptier_of_two_holders(self):
+    def test_less_loaded_of_two_targets_is_preferred(self):
         busy = [
             replace(s, running=60, kv_reserved=s.kv_capacity * 0.8)
             for s in make_chain("a", "a")
