--- a/packages/core/fulmarward_core/routing/__init__.py
+++ b/packages/core/fulmarward_core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing the target that carries a request."""
+"""Choice of the target for a request."""
 
 from fulmarward_core.routing._types import (
     PLAIN_ASK,
--- a/packages/core/fulmarward_core/routing/_types.py
+++ b/packages/core/fulmarward_core/routing/_types.py
@@ -1,4 +1,4 @@
-"""What an instance knows of targets when it chooses among them."""
+"""State of the targets, and the inputs and results of choosing one."""
 
 from dataclasses import dataclass, field
 
@@ -9,95 +9,94 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """A target's own word about its load, late by an unknown lag."""
+    """Load reported by a target, with an unknown delay."""
 
-    #: Requests running.
+    #: Number of running requests.
     running: int
-    #: Requests waiting.
+    #: Number of waiting requests.
     waiting: int
-    #: When the instance received it, seconds on the instance's steady clock.
+    #: When this instance received it, in seconds on its monotonic clock.
     received_at: float
 
 
-#: The report of a target that has not reported yet.
+#: Stands in for the report of a target that has not reported yet.
 NO_REPORT = LoadReport(running=0, waiting=0, received_at=float("-inf"))
 
 
 @dataclass(kw_only=True)
 class TargetView:
-    """One target as this instance sees it; changed by the tasks that watch it."""
+    """This instance's view of a target, updated by the tasks that watch the target."""
 
-    #: Its name in the declaration.
+    #: Name in the declaration.
     name: str
-    #: Its declaration.
+    #: Declaration of the target.
     target: Target
-    #: Requests that this instance has on it now.
+    #: Requests that this instance currently runs on it.
     in_flight: int = 0
-    #: The newest report.
+    #: Most recent report.
     report: LoadReport = field(default=NO_REPORT)
-    #: Whether any source says that it is leaving: no new work.
+    #: Whether any source reports that it is leaving; it then gets no new work.
     leaving: bool = False
-    #: Until when it gets no work because it failed; seconds on the steady clock.
+    #: Until when it gets no work after a failure, in seconds on the monotonic clock.
     avoided_until: float = float("-inf")
-    #: What it says that it holds; `None` before its first report.
+    #: What it reports to hold; `None` before its first report.
     held: Held | None = None
-    #: Prefixes that its cache is believed to hold, each with the time until when the
-    #: belief stands, seconds on the steady clock. Bounded; events come late and with
-    #: gaps, so it is a hint.
+    #: Prefixes that its cache probably holds, each with its expiry in seconds on the
+    #: monotonic clock. Bounded. Cache events arrive late and with gaps, so this is only
+    #: a hint.
     cached_prefixes: dict[str, float] = field(default_factory=dict)
-    #: Sequence number of the last cache event known; 0 before the first.
+    #: Sequence number of the last known cache event; 0 before the first.
     cache_sequence: int = 0
-    #: What this instance has measured of it.
+    #: Measurements by this instance.
     performance: Performance = field(default_factory=Performance)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Ask:
-    """What a request needs of its target."""
+    """Properties of a request that matter for the choice of its target."""
 
-    #: Tokens of the prompt.
+    #: Number of prompt tokens.
     prompt_tokens: int = 0
-    #: Output tokens that are expected.
+    #: Expected number of output tokens.
     output_tokens: float = 0.0
-    #: Hashes of the prompt's prefixes, the shortest first.
+    #: Hashes of the prefixes of the prompt, shortest first.
     prefixes: tuple[str, ...] = ()
-    #: Tokens in one more prefix than the one before it.
+    #: Number of tokens by which each prefix is longer than the previous one.
     prefix_tokens: int = 0
     #: Seconds until the deadline.
     slack_s: float = float("inf")
-    #: Whether it may test a target that was set aside.
+    #: Whether it may probe a target that was set aside.
     may_probe: bool = True
-    #: Targets that it was tried on before.
+    #: Targets on which it was already tried.
     tried: frozenset[str] = frozenset()
 
 
-#: A request of which nothing is known, as calls of plain services are.
+#: A request with unknown properties, such as a call of a plain service.
 PLAIN_ASK = Ask()
 
 
 @dataclass(frozen=True, kw_only=True)
 class PoolSpeed:
-    """What a pool carries, as far as one instance knows."""
+    """Capacity and speed of a pool as known to one instance."""
 
-    #: Requests that this instance may have on it now.
+    #: Requests that this instance may currently run on it.
     places: float
-    #: The same once limits that were never cut have grown to the slots.
+    #: The same after all limits that were never cut have grown to the slots.
     capacity: float
-    #: Seconds for a prompt token.
+    #: Seconds per prompt token.
     prefill_s: float
-    #: Seconds for an output token.
+    #: Seconds per output token.
     token_s: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Choice:
-    """A choice of target, with what decided it."""
+    """The chosen target, and why it was chosen."""
 
-    #: The chosen target.
     chosen: TargetView
     #: Score of the chosen target; lower is better.
     score: float
-    #: Name of the next best target, empty when there was no other.
+    #: Name of the second-best target; empty if there was no other.
     runner_up: str
-    #: Why it was chosen, a fixed word for logs.
+    #: Reason as a fixed string for logs.
     reason: str
--- a/packages/core/fulmarward_core/routing/tests/test_choice.py
+++ b/packages/core/fulmarward_core/routing/tests/test_choice.py
@@ -39,7 +39,7 @@
     @given(
         st.lists(st.tuples(st.booleans(), st.floats(0, 200)), min_size=1, max_size=9)
     )
-    def test_something_is_chosen_unless_all_are_leaving(self, states):
+    def test_a_target_is_chosen_unless_all_are_leaving(self, states):
         views = _make_views(len(states))
         for view, (leaving, avoided_until) in zip(views, states, strict=True):
             view.leaving, view.avoided_until = leaving, avoided_until
@@ -48,9 +48,9 @@
         if choice:
             self.assertFalse(choice.chosen.leaving)
 
-    def test_a_cached_prefix_draws_work_only_while_its_target_is_not_crowded(self):
-        # All callers share one system prompt. Its first target holds it, so a plain
-        # affinity would send everything there while its peers are idle.
+    def test_cached_prefix_attracts_work_only_until_its_target_is_loaded(self):
+        # All callers share one system prompt, and one target has cached it. Plain cache
+        # affinity would send everything there while the others are idle.
         views = _make_views(6)
         views[0].cached_prefixes = {"p": 1000.0}
         ask = Ask(
@@ -65,22 +65,22 @@
         self.assertGreater(chosen["t0"], 10)
         self.assertLessEqual(chosen["t0"], 60 / 6 * 1.25 + 2)
 
-    def test_a_report_of_idleness_does_not_beat_the_own_count(self):
-        # A target says that it is idle for ever. What this instance has on it itself
-        # counts, so it gets no more than its peers.
+    def test_own_requests_count_even_if_a_target_reports_to_be_idle(self):
+        # A target always reports that it is idle. The requests of this instance on it
+        # are counted as well, so it gets no more work than others.
         views = _make_views(2)
         views[0].in_flight = 3
         views[0].report = LoadReport(running=0, waiting=0, received_at=100.0)
         views[1].report = LoadReport(running=1, waiting=0, received_at=100.0)
         self.assertEqual(_choose(views, Ask()).chosen.name, "t1")
 
-    def test_tried_targets_and_probes_are_passed_over(self):
+    def test_tried_and_probed_targets_are_skipped(self):
         views = _make_views(3)
         views[1].performance.probes_left = 2
         ask = Ask(tried=frozenset({"t0"}), may_probe=False)
         self.assertEqual(_choose(views, ask).chosen.name, "t2")
 
-    def test_near_targets_go_first_until_they_are_full(self):
+    def test_local_targets_are_preferred_until_they_are_full(self):
         views = _make_views(4)
         for view in views[2:]:
             view.target = replace(_TARGET, data_centre="catania-b")
