--- a/packages/core/fulmarward_core/loads/__init__.py
+++ b/packages/core/fulmarward_core/loads/__init__.py
@@ -1,4 +1,4 @@
-"""What runs on each target."""
+"""Load of each target, from own reservations and reports of peers."""
 
 from fulmarward_core.loads._ledger import (
     HubLoads,
--- a/packages/core/fulmarward_core/loads/_ledger.py
+++ b/packages/core/fulmarward_core/loads/_ledger.py
@@ -1,4 +1,4 @@
-"""What runs on each target: this instance's own requests, and what peers report."""
+"""Load of each target: requests of this instance, and reports of its peers."""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
@@ -13,18 +13,18 @@
 )
 from fulmarward_core.paths import Hop
 
-#: Seconds for which a report counts: several heartbeats.
+#: Seconds for which a report is valid; several heartbeats.
 _REPORT_DURATION_S = 2.5
 
-#: Snapshots of the own loads that are kept until a hub says which one it has added.
+#: Snapshots of the own loads that are kept until a hub reports which one it included.
 _MAX_SNAPSHOTS = 32
 
 
 @dataclass(frozen=True, kw_only=True)
 class Reservation:
-    """What one request takes at the targets of its path, until it is released."""
+    """Resources of one request at the targets of its path, until it is released."""
 
-    #: Number of the reservation.
+    #: Unique within the ledger.
     number: int
     #: Load by target.
     loads: Mapping[str, TargetLoad]
@@ -34,7 +34,7 @@
 class LoadSnapshot:
     """This instance's own loads as they were sent to a hub."""
 
-    #: Rises with each snapshot.
+    #: Increases with each snapshot.
     sequence: int
     #: Load by target.
     loads: Mapping[str, TargetLoad]
@@ -42,22 +42,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HubLoads:
-    """What a hub reports of the loads of all instances together."""
+    """Report of a hub on the combined loads of all instances."""
 
     #: Name of the hub.
     hub: str
-    #: Whether all targets with a load are listed, not only those that changed since
-    #: the hub's last report.
+    #: Whether it lists all targets with a load, and not only those that changed since
+    #: the last report of the hub.
     is_full: bool
-    #: Load by target; none at all where nothing runs any more.
+    #: Load by target; zero if nothing runs there any more.
     loads: Mapping[str, Load]
-    #: Sequence of this instance's snapshot that is part of them, `None` for no one.
+    #: Sequence of this instance's snapshot that they include; `None` for none.
     included: int | None
 
 
 @dataclass(kw_only=True)
 class _Report:
-    """The last report of a peer or data centre, and when it came."""
+    """The last report of a peer or data centre, and when it arrived."""
 
     at: float
     loads: Mapping[str, Load]
@@ -66,35 +66,36 @@
 class LoadLedger:
     """Reservations of this instance, and the loads that peers report.
 
-    An instance that hears all peers adds up what each of them reports. One that hears
-    a hub takes the hub's sum, without its own part of it, which it knows better.
+    An instance that is connected to all peers sums up their reports. One that follows a
+    hub uses the sum of the hub, but replaces its own part by its current loads.
     """
 
     def __init__(self, *, note_changed: Callable[[], None] = lambda: None) -> None:
         #: Called whenever the load of a target changes.
         self._note_changed = note_changed
-        self._open: dict[int, Reservation] = {}
+        self._reservations: dict[int, Reservation] = {}
         self._last_number = 0
-        self._all: dict[str, TargetLoad] = {}
-        #: The number of the last change, and of the last one of each target.
+        self._totals: dict[str, TargetLoad] = {}
+        #: Revision of the last change, and of the last change by target.
         self.revision = 0
-        self._changed: dict[str, int] = {}
-        #: The number of the last change of the own loads.
+        self._changed_at: dict[str, int] = {}
+        #: Revision of the last change of the own loads.
         self.own_revision = 0
-        self._own = LoadSum(note_changed=self._refresh)
-        self._near = LoadSum(note_changed=self._refresh)
-        self._far = LoadSum(note_changed=self._refresh)
-        self._reports: dict[str, _Report] = {}
-        self._centres: dict[str, _Report] = {}
-        #: The hub that is followed, when it reported last, its sum, and the own part.
+        self._own_sum = LoadSum(note_changed=self._refresh)
+        self._peer_sum = LoadSum(note_changed=self._refresh)
+        self._centre_sum = LoadSum(note_changed=self._refresh)
+        self._peer_reports: dict[str, _Report] = {}
+        self._centre_reports: dict[str, _Report] = {}
+        #: The hub that is followed, the time of its last report, its sum, and the part
+        #: of this instance in that sum.
         self._hub: str | None = None
-        self._hub_at = float("-inf")
-        self._fleet: dict[str, Load] = {}
-        self._included: Mapping[str, TargetLoad] = {}
+        self._hub_reported_at = float("-inf")
+        self._hub_loads: dict[str, Load] = {}
+        self._own_in_hub_loads: Mapping[str, TargetLoad] = {}
         self._snapshots: deque[LoadSnapshot] = deque(maxlen=_MAX_SNAPSHOTS)
 
     def reserve(self, path: Iterable[Hop], tokens: int) -> Reservation:
-        """Note that a request of that many tokens takes a path."""
+        """Reserve KV cache for `tokens` at each target of a request's path."""
         loads = {
             hop.target: TargetLoad(
                 kv=float(tokens * len(hop.layers)),
@@ -106,39 +107,39 @@
         return self._open_reservation(loads)
 
     def reserve_one(self, target: str) -> Reservation:
-        """Note that a request runs at one target of a plain service."""
+        """Reserve one target of a plain service for a request."""
         return self._open_reservation({target: TargetLoad(running=1, first_running=1)})
 
     def _open_reservation(self, loads: Mapping[str, TargetLoad]) -> Reservation:
         self._last_number += 1
         reservation = Reservation(number=self._last_number, loads=loads)
-        self._open[reservation.number] = reservation
-        self._own.add(loads)
+        self._reservations[reservation.number] = reservation
+        self._own_sum.add(loads)
         self.own_revision = self.revision
         return reservation
 
     def release(self, reservation: Reservation) -> None:
-        """A request has ended; releasing it again changes nothing."""
-        if self._open.pop(reservation.number, None) is not None:
-            self._own.subtract(reservation.loads)
+        """Release the reservation of a request; a second release has no effect."""
+        if self._reservations.pop(reservation.number, None) is not None:
+            self._own_sum.subtract(reservation.loads)
             self.own_revision = self.revision
 
     def list_own(self) -> Mapping[str, TargetLoad]:
-        """Return this instance's own load by target, for peers."""
-        return dict(self._own.loads)
+        """Return the load of this instance by target, for its peers."""
+        return dict(self._own_sum.loads)
 
     def has_own(self) -> bool:
-        """Return whether requests of this instance run."""
-        return bool(self._own.loads)
+        """Return whether any request of this instance is running."""
+        return bool(self._own_sum.loads)
 
     def list_reporters(self) -> list[str]:
-        """Return the peers whose reports of their own loads are added up."""
-        return list(self._reports)
+        """Return the peers whose reports are included."""
+        return list(self._peer_reports)
 
     def take_snapshot(self, sequence: int) -> LoadSnapshot:
-        """Return the own loads for hubs; the last ones are kept until they are added.
+        """Return a snapshot of the own loads for hubs, and keep it for `merge_fleet`.
 
-        `sequence` is higher than that of any earlier start of this instance.
+        `sequence` must be higher than in any earlier run of this instance.
         """
         if self._snapshots:
             sequence = max(sequence, self._snapshots[-1].sequence + 1)
@@ -147,35 +148,35 @@
         return snapshot
 
     def merge_report(self, peer: str, loads: Mapping[str, Load], *, now: float) -> None:
-        """Take in a peer's report of its own load."""
-        _merge(self._reports, self._near, peer, loads, now)
+        """Replace the load that a peer reports for itself."""
+        _merge(self._peer_reports, self._peer_sum, peer, loads, now)
 
     def merge_centre(
         self, data_centre: str, loads: Mapping[str, Load], *, now: float
     ) -> None:
-        """Take in the load of all instances of another data centre together."""
-        _merge(self._centres, self._far, data_centre, loads, now)
+        """Replace the combined load of all instances of another data centre."""
+        _merge(self._centre_reports, self._centre_sum, data_centre, loads, now)
 
     def merge_fleet(self, report: HubLoads, *, now: float) -> bool:
-        """Take in a hub's report of the loads of all instances, this one included.
+        """Apply a hub's report on the loads of all instances, including this one.
 
-        Return whether it could be: what only changed says nothing without the full
-        report that the same hub sent before.
+        Return whether it was applied: a report of changes is unusable without a
+        previous full report of the same hub.
         """
         if report.hub != self._hub and not report.is_full:
             return False
-        changed = {*report.loads, *self._included}
+        changed = {*report.loads, *self._own_in_hub_loads}
         if report.is_full:
-            changed |= {*self._fleet, *self._all}
-            self._fleet = {}
-        self._hub, self._hub_at = report.hub, now
+            changed |= {*self._hub_loads, *self._totals}
+            self._hub_loads = {}
+        self._hub, self._hub_reported_at = report.hub, now
         for target, load in report.loads.items():
             if load.running or load.kv:
-                self._fleet[target] = load
+                self._hub_loads[target] = load
             else:
-                self._fleet.pop(target, None)
-        self._included = self._find_snapshot(report.included)
-        changed.update(self._included)
+                self._hub_loads.pop(target, None)
+        self._own_in_hub_loads = self._find_snapshot(report.included)
+        changed.update(self._own_in_hub_loads)
         for target in changed:
             self._refresh(target)
         return True
@@ -194,75 +195,72 @@
         """Add up what peers report from now on: this instance hears all of them."""
         if self._hub is None:
             return
-        left = {*self._fleet, *self._included, *self._all}
-        self._hub, self._fleet, self._included = None, {}, {}
-        for target in left | {*self._near.loads, *self._far.loads}:
+        left = {*self._hub_loads, *self._own_in_hub_loads, *self._totals}
+        self._hub, self._hub_loads, self._own_in_hub_loads = None, {}, {}
+        for target in left | {*self._peer_sum.loads, *self._centre_sum.loads}:
             self._refresh(target)
 
     def find_centre_load(self, data_centre: str) -> Mapping[str, Load]:
-        """Return the last report on another data centre."""
-        known = self._centres.get(data_centre)
+        """Return the last reported load of another data centre."""
+        known = self._centre_reports.get(data_centre)
         return {} if known is None else known.loads
 
     def sum_nearby(self, *, now: float) -> dict[str, TargetLoad]:
-        """Return the load by target of this instance and those that it is linked to."""
+        """Return the load by target of this instance and its directly linked peers."""
         self._expire(now)
-        total = dict(self._near.loads)
-        for target, load in self._own.loads.items():
+        total = dict(self._peer_sum.loads)
+        for target, load in self._own_sum.loads.items():
             total[target] = add_loads(total.get(target, NO_LOAD), load)
         return total
 
     def sum_loads(self, *, now: float) -> Mapping[str, TargetLoad]:
-        """Return the load by target, of this instance and all others.
-
-        What is returned changes with the loads.
-        """
+        """Return the load by target of this instance and all others, as a live view."""
         self._expire(now)
-        return self._all
+        return self._totals
 
     def find_load(self, target: str, *, now: float) -> TargetLoad:
-        """Return the load of one target, of this instance and all others."""
+        """Return the load of one target from this instance and all others."""
         return self.sum_loads(now=now).get(target, NO_LOAD)
 
     def list_changes(self, *, after: int, now: float) -> dict[str, TargetLoad]:
-        """Return the loads that changed after a revision, of idle targets as well."""
+        """Return the loads that changed after a revision, including idle targets."""
         self._expire(now)
         return {
-            target: self._all.get(target, NO_LOAD)
-            for target, revision in self._changed.items()
+            target: self._totals.get(target, NO_LOAD)
+            for target, revision in self._changed_at.items()
             if revision > after
         }
 
     def _expire(self, now: float) -> None:
-        """Forget reports that no longer count."""
-        _drop_old(self._reports, self._near, now)
-        _drop_old(self._centres, self._far, now)
-        if self._hub is not None and now - self._hub_at > _REPORT_DURATION_S:
+        """Remove expired reports."""
+        _drop_expired(self._peer_reports, self._peer_sum, now)
+        _drop_expired(self._centre_reports, self._centre_sum, now)
+        if self._hub is not None and now - self._hub_reported_at > _REPORT_DURATION_S:
             self.leave_hub()
 
     def _refresh(self, target: str) -> None:
-        """Add up the load of a target again."""
+        """Recompute the total load of a target."""
         if self._hub is None:
-            parts = (self._own.loads, self._near.loads, self._far.loads)
+            parts = (self._own_sum.loads, self._peer_sum.loads, self._centre_sum.loads)
         else:
-            parts = (self._own.loads, self._fleet)
+            parts = (self._own_sum.loads, self._hub_loads)
         loads = [loads[target] for loads in parts if target in loads]
         self.revision += 1
-        self._changed[target] = self.revision
+        self._changed_at[target] = self.revision
         self._note_changed()
         if not loads:
-            self._all.pop(target, None)
+            self._totals.pop(target, None)
             return
         total = NO_LOAD
         for load in loads:
             total = add_loads(total, load)
-        if self._hub is not None and target in self._included:
-            total = _subtract(total, self._included[target])
-        self._all[target] = total
+        if self._hub is not None and target in self._own_in_hub_loads:
+            total = _subtract(total, self._own_in_hub_loads[target])
+        self._totals[target] = total
 
 
 def _subtract(total: Load, part: Load) -> TargetLoad:
-    """Return a load without a part of it, which may be newer than the load."""
+    """Return a load minus a part of it, which may be newer; never below zero."""
     left = add_loads(total, part, -1)
     return TargetLoad(
         kv=max(0.0, left.kv),
@@ -287,7 +285,7 @@
     reports[reporter] = _Report(at=now, loads=loads)
 
 
-def _drop_old(reports: dict[str, _Report], total: LoadSum, now: float) -> None:
+def _drop_expired(reports: dict[str, _Report], total: LoadSum, now: float) -> None:
     old = [
         reporter
         for reporter, report in reports.items()
--- a/packages/core/fulmarward_core/loads/_sums.py
+++ b/packages/core/fulmarward_core/loads/_sums.py
@@ -1,4 +1,4 @@
-"""Loads added up by target, kept as they come and go."""
+"""Sums of loads by target, updated incrementally."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -6,30 +6,30 @@
 
 
 class Load(Protocol):
-    """What requests take at one target, as an instance adds it up."""
+    """Resources that requests use at one target."""
 
     @property
     def kv(self) -> float:
-        """KV cache, tokens times layers."""
+        """KV cache, in tokens x layers."""
 
     @property
     def running(self) -> int:
-        """Requests that pass through it."""
+        """Requests whose path includes the target."""
 
     @property
     def first_running(self) -> int:
-        """Requests for which it is the first of the path."""
+        """Requests whose path starts at the target."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TargetLoad:
-    """What is reserved for requests at one target."""
+    """Resources reserved for requests at one target."""
 
-    #: KV cache, tokens times layers.
+    #: KV cache, in tokens x layers.
     kv: float = 0.0
-    #: Requests that pass through it.
+    #: Requests whose path includes the target.
     running: int = 0
-    #: Requests for which it is the first of the path.
+    #: Requests whose path starts at the target.
     first_running: int = 0
 
 
@@ -46,32 +46,32 @@
 
 
 class LoadSum:
-    """The sum of many loads by target; each may be taken out again.
+    """The sum of many loads by target, with subtraction.
 
-    A path is chosen from it several times a second, while a thousand loads are known:
-    only the targets of a load that comes or goes are added up.
+    Paths are chosen from it several times a second with a thousand known loads, so only
+    the targets of an added or removed load are summed again.
     """
 
     def __init__(self, *, note_changed: Callable[[str], None]) -> None:
         self._note_changed = note_changed
         self._sums: dict[str, TargetLoad] = {}
-        #: How many loads each sum is made of.
+        #: Number of loads in each sum.
         self._counts: dict[str, int] = {}
 
     @property
     def loads(self) -> Mapping[str, TargetLoad]:
-        """The sums; what is returned changes with them."""
+        """The sums by target; a live view."""
         return self._sums
 
     def add(self, loads: Mapping[str, Load]) -> None:
-        """Add the loads of one more reporter."""
+        """Add the loads of one reporter."""
         for target, load in loads.items():
             self._sums[target] = add_loads(self._sums.get(target, NO_LOAD), load)
             self._counts[target] = self._counts.get(target, 0) + 1
             self._note_changed(target)
 
     def subtract(self, loads: Mapping[str, Load]) -> None:
-        """Take out loads that were added before."""
+        """Subtract loads that were added before."""
         for target, load in loads.items():
             self._counts[target] -= 1
             if self._counts[target]:
--- a/packages/core/fulmarward_core/loads/tests/test_loads.py
+++ b/packages/core/fulmarward_core/loads/tests/test_loads.py
@@ -24,8 +24,8 @@
         ledger.release(reservation)
         self.assertEqual(ledger.sum_loads(now=0.0), {})
 
-    def test_word_of_a_silent_peer_does_not_count_for_long(self):
-        # An instance dies with requests open; its load must not keep targets empty.
+    def test_report_of_a_silent_peer_expires(self):
+        # An instance fails with open requests; its load must not keep targets unused.
         ledger = LoadLedger()
         ledger.merge_report("peer", {"a": TargetLoad(running=5)}, now=0.0)
         self.assertEqual(ledger.sum_loads(now=1.0)["a"].running, 5)
@@ -44,15 +44,17 @@
 
 
 class SumTest(unittest.TestCase):
-    def test_sum_over_many_peers_costs_few_calls(self):
-        # Each choice of a path and each word of a hub sums what all peers told. With 19
-        # peers that each tell of 60 targets this took 1.2 to 1.5 ms, as much as the
-        # choice itself: a load was made for each target of each peer.
+    def test_sum_over_many_peers_needs_few_calls(self):
+        # Each choice of a path and each report of a hub needs the sum over all peers.
+        # With 19 peers of 60 targets each this took 1.2 to 1.5 ms, as much as the
+        # choice itself, because an object was created for each target of each peer.
         ledger = LoadLedger()
         names = [f"t{place}" for place in range(99)]
         for place in range(19):
-            told = {name: TargetLoad(kv=1.0, running=1) for name in names[place:][:60]}
-            ledger.merge_report(f"peer-{place}", told, now=0.0)
+            reported = {
+                name: TargetLoad(kv=1.0, running=1) for name in names[place:][:60]
+            }
+            ledger.merge_report(f"peer-{place}", reported, now=0.0)
         sums = ledger.sum_loads(now=0.1)
         self.assertEqual(sums["t30"].running, 19)
         calls = count_calls(lambda: ledger.sum_loads(now=0.1))
@@ -64,42 +66,42 @@
     @given(
         st.lists(
             st.tuples(
-                st.sampled_from(["own", "told", "centre", "release"]),
+                st.sampled_from(["own", "reported", "centre", "release"]),
                 st.integers(0, 3),
                 _DRAWN_LOADS,
             ),
             max_size=20,
         )
     )
-    def test_sum_is_what_adding_one_by_one_gives(self, steps):
+    def test_sum_equals_adding_one_by_one(self, steps):
         ledger = LoadLedger()
-        reservations, told, centres = [], {}, {}
+        reservations, reported, centres = [], {}, {}
         for place, (step, number, loads) in enumerate(steps):
             now = place * 0.4
             if step == "own":
                 reservations.append(ledger.reserve(_PATH, number))
-            elif step == "told":
+            elif step == "reported":
                 ledger.merge_report(f"peer-{number}", loads, now=now)
-                told[number] = (now, loads)
+                reported[number] = (now, loads)
             elif step == "centre":
                 ledger.merge_centre(f"centre-{number}", loads, now=now)
                 centres[number] = (now, loads)
             elif reservations:
                 ledger.release(reservations.pop())
-            near = [ledger.list_own(), *_list_late(told, now)]
-            all_told = [*near, *_list_late(centres, now)]
-            self.assertEqual(ledger.sum_nearby(now=now), _add_plainly(near))
-            self.assertEqual(ledger.sum_loads(now=now), _add_plainly(all_told))
+            near = [ledger.list_own(), *_list_unexpired(reported, now)]
+            all_reports = [*near, *_list_unexpired(centres, now)]
+            self.assertEqual(ledger.sum_nearby(now=now), _sum_one_by_one(near))
+            self.assertEqual(ledger.sum_loads(now=now), _sum_one_by_one(all_reports))
             for target in "abcdef":
-                expected = _add_plainly(all_told).get(target, TargetLoad())
+                expected = _sum_one_by_one(all_reports).get(target, TargetLoad())
                 self.assertEqual(ledger.find_load(target, now=now), expected)
 
 
-def _list_late(told, now):
-    return [loads for at, loads in told.values() if now - at <= 2.5]
+def _list_unexpired(reported, now):
+    return [loads for at, loads in reported.values() if now - at <= 2.5]
 
 
-def _add_plainly(many):
+def _sum_one_by_one(many):
     total = {}
     for loads in many:
         for target, load in loads.items():
@@ -113,9 +115,9 @@
 
 
 class DataCentreLoadTest(unittest.TestCase):
-    def test_sum_of_another_data_centre_counts_and_is_not_told_back(self):
-        # Loads of single instances are told within their data centre only. Without the
-        # others' sums a target elsewhere looks idle, and all send their requests there.
+    def test_sum_of_another_data_centre_counts_but_is_not_sent_back(self):
+        # Loads of single instances are sent only within their data centre. Without the
+        # sums of other data centres, a remote target looks idle and gets all requests.
         ledger = LoadLedger()
         ledger.merge_report("peer", {"a": TargetLoad(running=2)}, now=0.0)
         ledger.merge_centre("far", {"a": TargetLoad(running=7)}, now=0.0)
