--- a/packages/core/fulmarward_core/performance/__init__.py
+++ b/packages/core/fulmarward_core/performance/__init__.py
@@ -1,4 +1,4 @@
-"""What targets are measured to carry, and which of them are set aside."""
+"""Concurrency limits of targets, and outlier ejection ("set aside")."""
 
 from fulmarward_core.performance._types import FIRST_PREFILL_S, Performance
 from fulmarward_core.performance.decisions import (
--- a/packages/core/fulmarward_core/performance/_types.py
+++ b/packages/core/fulmarward_core/performance/_types.py
@@ -1,32 +1,32 @@
-"""What an instance has measured of one target."""
+"""Measurements of one target by an instance."""
 
 from dataclasses import dataclass
 
-#: Seconds that an engine reads a prompt token in, before one was measured.
+#: Seconds per prompt token until it was measured.
 FIRST_PREFILL_S = 0.0002
 
 
 @dataclass(kw_only=True)
 class Performance:
-    """One target's measured speed, its limit and whether it is set aside."""
+    """Measured speed, concurrency limit and health of one target."""
 
-    #: Requests that this instance may have on it at once; 0 before the first use.
+    #: Maximum concurrent requests of this instance; 0 before the first use.
     limit: float = 0.0
-    #: Whether the limit still doubles: it was never cut.
+    #: Whether the limit still doubles (slow start), because it was never cut.
     is_ramping: bool = True
-    #: When the limit was last cut, seconds on the steady clock.
+    #: When the limit was last cut, in seconds on the monotonic clock.
     cut_at: float = float("-inf")
-    #: Seconds between two tokens, moving mean; 0 before the first.
+    #: Seconds between two tokens, as a moving average; 0 before the first.
     token_s: float = 0.0
-    #: Seconds for a prompt token that is not cached, a low quantile.
+    #: Seconds per uncached prompt token, as a low quantile.
     prefill_s: float = FIRST_PREFILL_S
-    #: Seconds of the way there and back, a low quantile.
+    #: Round-trip overhead in seconds, as a low quantile.
     overhead_s: float = 0.0
-    #: Share of the last tries that failed, moving mean.
+    #: Share of failed attempts, as a moving average.
     failed_share: float = 0.0
-    #: Until when it is set aside, seconds on the steady clock.
+    #: Until when it is set aside, in seconds on the monotonic clock.
     aside_until: float = float("-inf")
-    #: How long it was set aside the last time, seconds; 0 when it is trusted.
+    #: How long it was last set aside, in seconds; 0 if it never was.
     aside_s: float = 0.0
-    #: Good answers still needed before it is trusted again.
+    #: Successful probes still needed before it is used normally again.
     probes_left: int = 0
--- a/packages/core/fulmarward_core/performance/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/performance/tests/test_decisions.py
@@ -22,7 +22,7 @@
 
 class LimitTest(unittest.TestCase):
     @given(st.lists(st.tuples(st.floats(0, 3), st.sampled_from("tfr")), max_size=200))
-    def test_limit_stays_between_one_and_a_quarter_over_the_slots(self, events):
+    def test_limit_stays_between_one_and_125_percent_of_the_slots(self, events):
         performance, now = Performance(), 0.0
         for waited_s, kind in events:
             now += 0.1
@@ -43,7 +43,7 @@
             self.assertLessEqual(1, get_limit(performance, slots=16))
             self.assertLessEqual(get_limit(performance, slots=16), 20)
 
-    def test_a_long_prompt_is_no_queue(self):
+    def test_long_prompt_is_not_taken_for_a_queue(self):
         performance = Performance(prefill_s=0.0002, token_s=0.01)
         note_first_token(
             performance,
@@ -59,10 +59,10 @@
 
 
 class ReviewTest(unittest.TestCase):
-    def test_the_slow_one_is_set_aside_and_comes_back_after_good_probes(self):
-        # A caller sees one answer in ten crawl. One target's links degrade: its
-        # tokens come five times slower than its peers'. It is set aside, later
-        # probed one request at a time, and trusted again when they go well.
+    def test_slow_target_is_set_aside_until_its_probes_succeed(self):
+        # The links of one target degrade, and its tokens take five times as long, so
+        # one answer in ten is slow. The target is set aside, later probed with one
+        # request at a time, and used normally again when the probes succeed.
         pool = _make_pool([0.01] * 9 + [0.05])
         self.assertEqual(review_pool(pool, now=0.0), [("9", "slow")])
         self.assertEqual(get_limit(pool["9"], slots=16), 1.0)
@@ -71,21 +71,21 @@
         self.assertEqual(review_pool(pool, now=10.0), [])
         self.assertEqual(get_limit(pool["9"], slots=16), 4.0)
 
-    def test_a_failed_probe_doubles_the_time_aside(self):
+    def test_failed_probe_doubles_the_time_set_aside(self):
         pool = _make_pool([0.01] * 9 + [0.05])
         review_pool(pool, now=0.0)
         note_failure(pool["9"], slots=16, now=3.0)
         self.assertEqual(review_pool(pool, now=3.0), [("9", "failing")])
         self.assertEqual(pool["9"].aside_until, 7.0)
 
-    def test_one_that_fails_fast_is_set_aside(self):
+    def test_fast_failing_target_is_set_aside(self):
         pool = _make_pool([0.01] * 4)
         for _ in range(3):
             note_failure(pool["0"], slots=16, now=0.0)
         self.assertEqual(review_pool(pool, now=0.0), [("0", "failing")])
 
     @given(st.lists(st.floats(0.001, 1), min_size=1, max_size=20), st.integers(0, 5))
-    def test_no_slowdown_empties_a_pool(self, speeds, failures):
+    def test_slowdown_does_not_empty_a_pool(self, speeds, failures):
         pool = _make_pool(speeds)
         for performance in list(pool.values())[::2]:
             for _ in range(failures):
