--- a/packages/core/fulmarward_core/paces/__init__.py
+++ b/packages/core/fulmarward_core/paces/__init__.py
@@ -1,4 +1,4 @@
-"""How slow targets are, by their own reports and by what peers told."""
+"""Slowdown factors ("paces") of targets, from own and forwarded reports."""
 
 from fulmarward_core.paces._table import (
     MIN_SLOWDOWN,
--- a/packages/core/fulmarward_core/paces/_table.py
+++ b/packages/core/fulmarward_core/paces/_table.py
@@ -1,44 +1,44 @@
-"""How slow targets are, by their own reports and by what peers told."""
+"""Slowdown factors ("paces") of targets, from own and forwarded reports."""
 
 from dataclasses import dataclass
 
-#: Slowdown from which a target counts as slow; reports are rounded and lag.
+#: Factor from which a target counts as slow. Reports are rounded and delayed.
 MIN_SLOWDOWN = 1.2
 
-#: Seconds for which a report holds; reports are read twice in that time.
+#: Seconds for which a report is valid; reports are read twice in that time.
 REPORT_DURATION_S = 2.5
 
-#: Share of the pause that callers accept, from which the mean of a stream's last pauses
-#: suggests that a target on its path is slow. A busy target takes less.
+#: A stream counts as slow when its mean pause exceeds this share of the pause that its
+#: route allows. Pauses of a busy but healthy target stay below.
 SLOW_PAUSE_SHARE = 0.4
 
 #: The same for the wait for the first event, as a share of its objective.
 SLOW_FIRST_SHARE = 0.6
 
-#: Weight of the newest pause in the mean, so that one long pause is no slowness.
+#: Weight of the newest pause in the mean; low, so that one long pause is ignored.
 _PAUSE_WEIGHT = 0.25
 
 
 @dataclass(frozen=True, kw_only=True)
 class Pace:
-    """How slow a target is."""
+    """Reported slowdown of a target."""
 
-    #: Factor on its times.
+    #: Slowdown factor; 1 is normal speed.
     factor: float
-    #: When its report was read, seconds on the steady clock.
+    #: When the report was read, in seconds on the monotonic clock.
     at: float
 
 
 class PaceTable:
-    """The slow targets."""
+    """The latest reported slowdown of each target."""
 
     def __init__(self) -> None:
         self._paces: dict[str, Pace] = {}
 
     def note(self, target: str, factor: float, *, at: float) -> bool:
-        """Note a report, read here or by a peer; return whether that is news.
+        """Store a report that was read here or by a peer; the newest one wins.
 
-        The newest report counts, whoever read it.
+        Return whether the target became slow or stopped being slow.
         """
         known = self._paces.get(target)
         if known is not None and known.at >= at:
@@ -48,14 +48,14 @@
         return was_slow != (factor >= MIN_SLOWDOWN)
 
     def find(self, target: str, *, now: float) -> float:
-        """Return the factor on a target's times; 1 when it is not known as slow."""
+        """Return the slowdown factor of a target; 1 if it is not known to be slow."""
         known = self._paces.get(target)
         if known is None or now - known.at > REPORT_DURATION_S:
             return 1.0
         return max(1.0, known.factor)
 
     def list_slow(self, *, now: float) -> dict[str, Pace]:
-        """Return the targets that are slow, for peers; forget old reports."""
+        """Return the slow targets, for peers, and remove expired reports."""
         for name, pace in list(self._paces.items()):
             if now - pace.at > REPORT_DURATION_S:
                 del self._paces[name]
@@ -67,18 +67,18 @@
 
 
 class SlowSigns:
-    """Whether one stream looks as if a target on its path were slow."""
+    """Detects from the pauses of one stream that a target on its path is slow."""
 
     def __init__(self) -> None:
         self._mean_pause_s: float | None = None
 
     def note_pause(self, pause_s: float) -> None:
-        """Take in the pause before an event that was not the first."""
-        mean_s = self._mean_pause_s
-        if mean_s is None:
+        """Update the mean with the pause before an event other than the first."""
+        mean_pause_s = self._mean_pause_s
+        if mean_pause_s is None:
             self._mean_pause_s = pause_s
         else:
-            self._mean_pause_s = mean_s + _PAUSE_WEIGHT * (pause_s - mean_s)
+            self._mean_pause_s = mean_pause_s + _PAUSE_WEIGHT * (pause_s - mean_pause_s)
 
     def is_slow(
         self, *, silent_s: float, has_begun: bool, objective_s: float, pause_s: float
@@ -90,5 +90,5 @@
         """
         if not has_begun:
             return silent_s > objective_s * SLOW_FIRST_SHARE
-        mean_s = self._mean_pause_s
-        return mean_s is not None and mean_s > pause_s * SLOW_PAUSE_SHARE
+        mean_pause_s = self._mean_pause_s
+        return mean_pause_s is not None and mean_pause_s > pause_s * SLOW_PAUSE_SHARE
--- a/packages/core/fulmarward_core/paces/tests/test_table.py
+++ b/packages/core/fulmarward_core/paces/tests/test_table.py
@@ -4,7 +4,7 @@
 
 
 class PaceTableTest(unittest.TestCase):
-    def test_newest_report_counts_whoever_read_it(self):
+    def test_newest_report_wins_whoever_read_it(self):
         table = PaceTable()
         self.assertTrue(table.note("t", 12.0, at=1.0))
         self.assertFalse(table.note("t", 1.0, at=0.5), "an older report by a peer")
@@ -12,15 +12,15 @@
         self.assertTrue(table.note("t", 1.0, at=2.0))
         self.assertEqual(table.find("t", now=2.1), 1.0)
 
-    def test_target_is_not_slow_for_longer_than_its_report_counts(self):
-        # Its watcher dies while it is slow, and nobody tells that it is sound again.
+    def test_slowdown_expires_with_its_report(self):
+        # The instance that watches it fails, so its recovery is never reported.
         table = PaceTable()
         table.note("t", 12.0, at=1.0)
         self.assertEqual(set(table.list_slow(now=1.1)), {"t"})
         self.assertEqual(table.find("t", now=1.1 + REPORT_DURATION_S), 1.0)
         self.assertEqual(table.list_slow(now=1.1 + REPORT_DURATION_S), {})
 
-    def test_fast_report_makes_no_target_faster(self):
+    def test_factor_is_at_least_one(self):
         table = PaceTable()
         table.note("t", 0.5, at=1.0)
         self.assertEqual(table.find("t", now=1.0), 1.0)
@@ -35,7 +35,7 @@
             silent_s=silent_s, has_begun=has_begun, objective_s=0.5, pause_s=0.25
         )
 
-    def test_signs(self):
+    def test_slow_streams(self):
         cases = [
             ("calm", [0.04] * 9, True, 0.02, False),
             ("crowded", [0.07] * 9, True, 0.02, False),
