--- a/packages/core/fulmarward_core/retries/__init__.py
+++ b/packages/core/fulmarward_core/retries/__init__.py
@@ -1,16 +1,16 @@
-"""How many retries there may be in proportion to first tries."""
+"""Retry budget in proportion to first attempts."""
 
 from fulmarward_core.retries._types import RetryBudget
 from fulmarward_core.retries.decisions import (
-    EARNED_BY_FIRST,
-    MOST_SAVED,
+    MAX_SAVED_RETRIES,
+    RETRIES_PER_FIRST_TRY,
     note_first_try,
     spend_retry,
 )
 
 __all__ = [
-    "EARNED_BY_FIRST",
-    "MOST_SAVED",
+    "RETRIES_PER_FIRST_TRY",
+    "MAX_SAVED_RETRIES",
     "RetryBudget",
     "note_first_try",
     "spend_retry",
--- a/packages/core/fulmarward_core/retries/_types.py
+++ b/packages/core/fulmarward_core/retries/_types.py
@@ -5,7 +5,7 @@
 
 @dataclass(kw_only=True)
 class RetryBudget:
-    """Retries that one instance may still make towards one pool."""
+    """Retries that one instance may still send to one pool."""
 
-    #: Retries saved up; a fresh instance has a few for its first faults.
+    #: Available retries; a new instance starts with a few for its first failures.
     saved: float = 8.0
--- a/packages/core/fulmarward_core/retries/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/retries/tests/test_decisions.py
@@ -3,8 +3,8 @@
 from hypothesis import given, strategies as st
 
 from fulmarward_core.retries import (
-    EARNED_BY_FIRST,
-    MOST_SAVED,
+    MAX_SAVED_RETRIES,
+    RETRIES_PER_FIRST_TRY,
     RetryBudget,
     note_first_try,
     spend_retry,
@@ -13,14 +13,16 @@
 
 class RetryBudgetTest(unittest.TestCase):
     @given(st.lists(st.booleans(), max_size=400))
-    def test_retries_stay_in_proportion_to_first_tries(self, is_first_try):
+    def test_retries_stay_in_proportion_to_first_attempts(self, is_first_try):
         budget = RetryBudget()
-        start, firsts, retries = budget.saved, 0, 0
+        start, first_tries, retries = budget.saved, 0, 0
         for is_first in is_first_try:
             if is_first:
-                firsts += 1
+                first_tries += 1
                 note_first_try(budget)
             else:
                 retries += spend_retry(budget)
-            self.assertLessEqual(budget.saved, MOST_SAVED)
-        self.assertLessEqual(retries, start + EARNED_BY_FIRST * firsts + 1e-6)
+            self.assertLessEqual(budget.saved, MAX_SAVED_RETRIES)
+        self.assertLessEqual(
+            retries, start + RETRIES_PER_FIRST_TRY * first_tries + 1e-6
+        )
