--- a/packages/core/fulmarward_core/attempts/__init__.py
+++ b/packages/core/fulmarward_core/attempts/__init__.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent once more, and what its caller is told if not."""
+"""Whether a request may be retried, and which result its caller gets if not."""
 
 from fulmarward_core.attempts.decisions import (
     RequestTally,
--- a/packages/core/fulmarward_core/attempts/decisions.py
+++ b/packages/core/fulmarward_core/attempts/decisions.py
@@ -1,8 +1,9 @@
-"""Whether a request may be sent once more, and what its caller is told if not.
+"""Whether a request may be retried, and which result its caller gets if not.
 
-Two counts decide. Attempts are sends, those that found nobody included: each of them
-costs the fleet a connection, so the route's bound holds for them all. Runs are attempts
-that a target may have begun: what has run twice may have had its effect twice.
+Two counters decide. Attempts count every send, including those that reached no target:
+each costs a connection, so the limit of the route applies to all of them. Runs count
+the attempts that a target may have started: a request that ran twice may have had its
+effect twice.
 """
 
 from dataclasses import dataclass
@@ -12,39 +13,39 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RequestTally:
-    """What became of a request so far, and its bounds."""
+    """Attempts of a request so far, and their limits."""
 
-    #: Attempts that were made, and those of them that a target may have begun.
+    #: Number of attempts, and of those that a target may have started.
     attempts: int
     runs: int
-    #: Attempts that its route allows beside the first, lost and refused ones included,
-    #: and runs that it allows in all.
+    #: Attempts that the route allows after the first, including lost and refused ones,
+    #: and also the total number of runs that it allows.
     most_attempts: int
-    #: Whether running it again changes nothing.
+    #: Whether running it again has no further effect.
     is_idempotent: bool
-    #: When its answer is due, seconds on the steady clock.
+    #: When the answer is due, in seconds on the monotonic clock.
     deadline: float
 
 
 def may_retry(tally: RequestTally, *, now: float) -> bool:
-    """Return whether the request may be sent once more after its last attempt."""
+    """Return whether the request may be retried after its last attempt ended."""
     if now >= tally.deadline or tally.attempts > tally.most_attempts:
         return False
-    is_within = tally.is_idempotent and tally.runs < tally.most_attempts
-    return tally.runs == 0 or is_within
+    has_runs_left = tally.is_idempotent and tally.runs < tally.most_attempts
+    return tally.runs == 0 or has_runs_left
 
 
 def may_run_again(tally: RequestTally, *, now: float) -> bool:
-    """Return whether one more run would be allowed if the attempt under way is lost."""
-    is_within = tally.is_idempotent and tally.runs + 1 < tally.most_attempts
-    return is_within and now < tally.deadline
+    """Return whether a retry would be allowed if the current attempt is lost."""
+    has_runs_left = tally.is_idempotent and tally.runs + 1 < tally.most_attempts
+    return has_runs_left and now < tally.deadline
 
 
 def choose_end(tally: RequestTally, *, now: float) -> ResultCode:
-    """Return what the caller of a request without an answer is told, truthfully.
+    """Return the result code for a request that got no answer.
 
-    That nothing ran is said only where no attempt may have: the caller then retries
-    even what must not happen twice.
+    `TARGET_REFUSED` is returned only if no attempt may have run, because the caller
+    then retries even requests that are not idempotent.
     """
     if tally.runs == 0 and now < tally.deadline:
         return ResultCode.TARGET_REFUSED
--- a/packages/core/fulmarward_core/attempts/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/attempts/tests/test_decisions.py
@@ -13,7 +13,7 @@
 DEADLINE = 10.0
 
 
-def _tally(**changes):
+def _make_tally(**changes):
     base = {
         "attempts": 1,
         "runs": 0,
@@ -35,38 +35,42 @@
 
 
 class MayRetryTest(unittest.TestCase):
-    def test_after_an_attempt(self):
+    def test_retry_after_an_attempt(self):
         cases = [
-            ("nobody had it", _tally(), True),
-            ("nobody had what must not run twice", _tally(is_idempotent=False), True),
-            ("it may have run", _tally(runs=1), True),
+            ("not run", _make_tally(), True),
+            ("not run, not idempotent", _make_tally(is_idempotent=False), True),
+            ("may have run", _make_tally(runs=1), True),
             (
-                "what must not run twice may have",
-                _tally(runs=1, is_idempotent=False),
+                "may have run, not idempotent",
+                _make_tally(runs=1, is_idempotent=False),
                 False,
             ),
-            ("it may have run as often as allowed", _tally(attempts=2, runs=2), False),
-            ("one target after the other refused it", _tally(attempts=3), False),
-            ("the last refused after one that ran", _tally(attempts=2, runs=1), True),
+            (
+                "may have run as often as allowed",
+                _make_tally(attempts=2, runs=2),
+                False,
+            ),
+            ("refused by each target", _make_tally(attempts=3), False),
+            ("refused after a run", _make_tally(attempts=2, runs=1), True),
         ]
         for name, tally, expected in cases:
             with self.subTest(name):
                 self.assertEqual(may_retry(tally, now=1.0), expected)
 
     @given(TALLIES)
-    def test_never_past_the_deadline(self, tally):
+    def test_no_retry_past_the_deadline(self, tally):
         self.assertFalse(may_retry(tally, now=DEADLINE))
         self.assertFalse(may_run_again(tally, now=DEADLINE))
 
     @given(TALLIES, st.lists(st.booleans(), min_size=8, max_size=8))
-    def test_no_more_runs_than_the_route_allows(self, tally, endings):
-        # A caller's request is sent on as long as this allows it, whatever becomes of
-        # each attempt. What must not run twice has run once at most, and all else as
-        # often as the route says.
+    def test_no_more_runs_than_the_route_allows(self, tally, results):
+        # Requests are retried for as long as `may_retry` allows, whatever the result of
+        # each attempt. A request that is not idempotent runs at most once, any other as
+        # often as the route allows.
         attempts, runs = 1, 0
-        for has_run in endings:
+        for has_run in results:
             runs += has_run
-            current = _tally(
+            current = _make_tally(
                 attempts=attempts,
                 runs=runs,
                 most_attempts=tally.most_attempts,
@@ -81,14 +85,14 @@
 
 
 class ChooseEndTest(unittest.TestCase):
-    def test_what_the_caller_is_told(self):
+    def test_result_codes(self):
         cases = [
-            ("nothing ran", _tally(), 1.0, ResultCode.TARGET_REFUSED),
-            ("it may have run", _tally(runs=1), 1.0, ResultCode.OUTCOME_UNKNOWN),
-            ("too late", _tally(), DEADLINE, ResultCode.DEADLINE_PASSED),
+            ("not run", _make_tally(), 1.0, ResultCode.TARGET_REFUSED),
+            ("may have run", _make_tally(runs=1), 1.0, ResultCode.OUTCOME_UNKNOWN),
+            ("too late", _make_tally(), DEADLINE, ResultCode.DEADLINE_PASSED),
             (
                 "too late, may have run",
-                _tally(runs=1),
+                _make_tally(runs=1),
                 11.0,
                 ResultCode.DEADLINE_PASSED,
             ),
@@ -98,6 +102,6 @@
                 self.assertEqual(choose_end(tally, now=now), expected)
 
     @given(TALLIES, st.floats(0.0, 20.0))
-    def test_not_run_is_said_only_of_what_did_not_run(self, tally, now):
+    def test_target_refused_means_that_nothing_ran(self, tally, now):
         if choose_end(tally, now=now) is ResultCode.TARGET_REFUSED:
             self.assertEqual(tally.runs, 0)
