--- a/packages/core/fulmarward_core/admission/__init__.py
+++ b/packages/core/fulmarward_core/admission/__init__.py
@@ -40,7 +40,7 @@
 )
 from fulmarward_core.admission.decisions._queue import (
     drop_late,
-    estimate_ahead_s,
+    estimate_work_ahead_s,
     pop_next,
     pop_ticket,
     push_ticket,
@@ -62,7 +62,7 @@
     "count_demand",
     "doubt_output",
     "drop_late",
-    "estimate_ahead_s",
+    "estimate_work_ahead_s",
     "estimate_wait_s",
     "expect_output",
     "forget_rows",
--- a/packages/core/fulmarward_core/admission/_types.py
+++ b/packages/core/fulmarward_core/admission/_types.py
@@ -152,6 +152,6 @@
     sequence: int = 0
     #: Rows of other instances by name, and when they arrived, on the monotonic clock.
     rows: dict[str, DemandRow] = field(default_factory=dict)
-    heard_at: dict[str, float] = field(default_factory=dict)
+    received_at: dict[str, float] = field(default_factory=dict)
     #: Sequence number of the own report with which each row was last forwarded.
     sent: dict[str, int] = field(default_factory=dict)
--- a/packages/core/fulmarward_core/admission/decisions/_demand.py
+++ b/packages/core/fulmarward_core/admission/decisions/_demand.py
@@ -86,7 +86,7 @@
     if is_outdated:
         return False
     table.rows[row.member] = row
-    table.heard_at[row.member] = now
+    table.received_at[row.member] = now
     return True
 
 
@@ -111,9 +111,9 @@
 def forget_rows(table: DemandTable, *, members: frozenset[str], now: float) -> None:
     """Remove the rows of instances that left, and rows that expired."""
     for member in list(table.rows):
-        if member not in members or now - table.heard_at[member] > MAX_ROW_AGE_S:
+        if member not in members or now - table.received_at[member] > MAX_ROW_AGE_S:
             del table.rows[member]
-            del table.heard_at[member]
+            del table.received_at[member]
             table.sent.pop(member, None)
 
 
--- a/packages/core/fulmarward_core/admission/decisions/_estimates.py
+++ b/packages/core/fulmarward_core/admission/decisions/_estimates.py
@@ -12,7 +12,10 @@
     Ticket,
 )
 from fulmarward_core.admission.decisions._buckets import promise_tokens, take_tokens
-from fulmarward_core.admission.decisions._queue import estimate_ahead_s, push_ticket
+from fulmarward_core.admission.decisions._queue import (
+    estimate_work_ahead_s,
+    push_ticket,
+)
 from fulmarward_core.declaration import Urgency
 from fulmarward_core.results import ResultCode
 
@@ -109,7 +112,7 @@
     """Return the estimated wait for a place among `places`, in seconds."""
     if running < places and not queue.length:
         return 0.0
-    ahead_s = estimate_ahead_s(queue, ticket, weight=weight)
+    ahead_s = estimate_work_ahead_s(queue, ticket, weight=weight)
     rate = max(1.0, places)
     correction = 1.0
     if ticket.is_lent:
--- a/packages/core/fulmarward_core/admission/decisions/_queue.py
+++ b/packages/core/fulmarward_core/admission/decisions/_queue.py
@@ -65,21 +65,24 @@
     return min(waiting, key=lambda key: (schedule.flows[key].start_tag, key))
 
 
-def _list_waiting_teams(queue: FairQueue, is_lent: bool, most: Urgency) -> list[str]:
+def _list_waiting_teams(
+    queue: FairQueue, is_lent: bool, least_urgent: Urgency
+) -> list[str]:
     return [
         team
         for lent, team in queue.urgencies
-        if lent is is_lent and _list_waiting_urgencies(queue, is_lent, team, most)
+        if lent is is_lent
+        and _list_waiting_urgencies(queue, is_lent, team, least_urgent)
     ]
 
 
 def _list_waiting_urgencies(
-    queue: FairQueue, is_lent: bool, team: str, most: Urgency = Urgency.BULK
+    queue: FairQueue, is_lent: bool, team: str, least_urgent: Urgency = Urgency.BULK
 ) -> list[Urgency]:
     return [
         urgency
         for urgency in Urgency
-        if urgency <= most and queue.waiting.get((is_lent, team, urgency))
+        if urgency <= least_urgent and queue.waiting.get((is_lent, team, urgency))
     ]
 
 
@@ -92,20 +95,22 @@
     if running < places:
         return pop_ticket(queue)
     if running < places * URGENT_PLACES_FACTOR:
-        return pop_ticket(queue, most=Urgency.URGENT)
+        return pop_ticket(queue, least_urgent=Urgency.URGENT)
     return None
 
 
-def pop_ticket(queue: FairQueue, *, most: Urgency = Urgency.BULK) -> Ticket | None:
-    """Remove and return the next ticket among those at least as urgent as `most`."""
+def pop_ticket(
+    queue: FairQueue, *, least_urgent: Urgency = Urgency.BULK
+) -> Ticket | None:
+    """Remove and return the next ticket of an urgency up to `least_urgent`."""
     for is_lent in (False, True):
-        teams = _list_waiting_teams(queue, is_lent, most)
+        teams = _list_waiting_teams(queue, is_lent, least_urgent)
         if not teams:
             continue
         team = _choose_flow(queue.teams[is_lent], iter(teams))
         schedule = queue.urgencies[is_lent, team]
         urgency = _choose_flow(
-            schedule, iter(_list_waiting_urgencies(queue, is_lent, team, most))
+            schedule, iter(_list_waiting_urgencies(queue, is_lent, team, least_urgent))
         )
         ticket = queue.waiting[is_lent, team, urgency].popleft()
         _pop_flow(queue.teams[is_lent], team, ticket.service_s)
@@ -156,7 +161,7 @@
     return late
 
 
-def estimate_ahead_s(queue: FairQueue, ticket: Ticket, *, weight: float) -> float:
+def estimate_work_ahead_s(queue: FairQueue, ticket: Ticket, *, weight: float) -> float:
     """Return the seconds of service ahead of `ticket` if it were queued now.
 
     While the backlog of a flow is served, each other flow is served in proportion to
--- a/packages/core/fulmarward_core/admission/tests/test_demand.py
+++ b/packages/core/fulmarward_core/admission/tests/test_demand.py
@@ -70,7 +70,7 @@
 
     def test_rows_of_departed_and_silent_instances_are_removed(self):
         table = DemandTable()
-        for member, heard_at in (("gone", 400.0), ("silent", 0.0), ("there", 400.0)):
-            merge_row(table, _make_row(DemandTable(), member), now=heard_at)
+        for member, received_at in (("gone", 400.0), ("silent", 0.0), ("there", 400.0)):
+            merge_row(table, _make_row(DemandTable(), member), now=received_at)
         forget_rows(table, members=frozenset({"silent", "there"}), now=401.0)
         self.assertEqual(list(table.rows), ["there"])
--- a/packages/core/fulmarward_core/admission/tests/test_queue.py
+++ b/packages/core/fulmarward_core/admission/tests/test_queue.py
@@ -6,7 +6,7 @@
     FairQueue,
     Ticket,
     drop_late,
-    estimate_ahead_s,
+    estimate_work_ahead_s,
     pop_next,
     pop_ticket,
     push_ticket,
@@ -108,7 +108,7 @@
         queue = FairQueue()
         _fill(queue, items)
         own = _make_ticket(team, 999, 1.0, urgency)
-        estimate = estimate_ahead_s(queue, own, weight=_WEIGHTS[team])
+        estimate = estimate_work_ahead_s(queue, own, weight=_WEIGHTS[team])
         push_ticket(queue, own, weight=_WEIGHTS[team])
         ahead = 0.0
         while (ticket := pop_ticket(queue)) is not own:
--- a/packages/core/fulmarward_core/loads/_ledger.py
+++ b/packages/core/fulmarward_core/loads/_ledger.py
@@ -182,7 +182,7 @@
         return True
 
     def _find_snapshot(self, sequence: int | None) -> Mapping[str, TargetLoad]:
-        """Return the own loads that a hub has added; older ones are of no use."""
+        """Return the own loads that a hub included, and drop older snapshots."""
         while self._snapshots and sequence is not None:
             if self._snapshots[0].sequence >= sequence:
                 break
@@ -192,12 +192,12 @@
         return known.loads if is_found else {}
 
     def leave_hub(self) -> None:
-        """Add up what peers report from now on: this instance hears all of them."""
+        """Use the sum of the peers' reports instead of the sum of a hub."""
         if self._hub is None:
             return
-        left = {*self._hub_loads, *self._own_in_hub_loads, *self._totals}
+        changed = {*self._hub_loads, *self._own_in_hub_loads, *self._totals}
         self._hub, self._hub_loads, self._own_in_hub_loads = None, {}, {}
-        for target in left | {*self._peer_sum.loads, *self._centre_sum.loads}:
+        for target in changed | {*self._peer_sum.loads, *self._centre_sum.loads}:
             self._refresh(target)
 
     def find_centre_load(self, data_centre: str) -> Mapping[str, Load]:
--- a/packages/core/fulmarward_core/loads/tests/test_loads.py
+++ b/packages/core/fulmarward_core/loads/tests/test_loads.py
@@ -88,9 +88,9 @@
                 centres[number] = (now, loads)
             elif reservations:
                 ledger.release(reservations.pop())
-            near = [ledger.list_own(), *_list_unexpired(reported, now)]
-            all_reports = [*near, *_list_unexpired(centres, now)]
-            self.assertEqual(ledger.sum_nearby(now=now), _sum_one_by_one(near))
+            linked = [ledger.list_own(), *_list_unexpired(reported, now)]
+            all_reports = [*linked, *_list_unexpired(centres, now)]
+            self.assertEqual(ledger.sum_nearby(now=now), _sum_one_by_one(linked))
             self.assertEqual(ledger.sum_loads(now=now), _sum_one_by_one(all_reports))
             for target in "abcdef":
                 expected = _sum_one_by_one(all_reports).get(target, TargetLoad())
--- a/packages/core/fulmarward_core/paths/__init__.py
+++ b/packages/core/fulmarward_core/paths/__init__.py
@@ -3,11 +3,11 @@
 from fulmarward_core.paths.decisions import (
     DIRECT_TERMS,
     HUB_TERMS,
-    FarTerms,
     Hop,
     Occupancy,
     PathRequest,
     ReadOccupancy,
+    RemoteTerms,
     Stage,
     StageIndex,
     compute_preference,
@@ -17,7 +17,7 @@
 __all__ = [
     "DIRECT_TERMS",
     "HUB_TERMS",
-    "FarTerms",
+    "RemoteTerms",
     "Hop",
     "Occupancy",
     "PathRequest",
--- a/packages/core/fulmarward_core/paths/decisions.py
+++ b/packages/core/fulmarward_core/paths/decisions.py
@@ -83,27 +83,29 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FarTerms:
+class RemoteTerms:
     """How targets in other data centres are weighted."""
 
     #: Extra cost of a first hop in another data centre, in ms.
-    first_ms: float
+    first_hop_ms: float
     #: Share of the KV cache of remote targets that paths may plan with.
-    planned_kv: float
+    usable_kv_share: float
     #: Whether a path may cross data centres because that is cheaper, and not only if no
     #: data centre has a complete path.
     may_cross_for_cost: bool
 
 
 #: Used when every instance receives the loads of all others directly.
-DIRECT_TERMS = FarTerms(
-    first_ms=200.0, planned_kv=USABLE_KV_SHARE, may_cross_for_cost=True
+DIRECT_TERMS = RemoteTerms(
+    first_hop_ms=200.0, usable_kv_share=USABLE_KV_SHARE, may_cross_for_cost=True
 )
 
 #: Used when hubs relay the loads of other data centres, which are then known late.
 #: Guards against all data centres sending to the one with the fastest targets: these
 #: would be saturated, and an answer need not be faster than its deadline.
-HUB_TERMS = FarTerms(first_ms=1000.0, planned_kv=0.7, may_cross_for_cost=False)
+HUB_TERMS = RemoteTerms(
+    first_hop_ms=1000.0, usable_kv_share=0.7, may_cross_for_cost=False
+)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -124,7 +126,7 @@
     #: Share of the planned KV cache that it may fill.
     kv_share: float = 1.0
     #: How targets in other data centres are weighted.
-    far: FarTerms = DIRECT_TERMS
+    far: RemoteTerms = DIRECT_TERMS
 
 
 def compute_preference(instance: str, target: str) -> float:
@@ -273,7 +275,7 @@
             key=lambda centre: (centre != request.data_centre, centre),
         )
         for centre in centres:
-            far_ms = 0.0 if centre == request.data_centre else request.far.first_ms
+            far_ms = 0.0 if centre == request.data_centre else request.far.first_hop_ms
             lower_bound_ms = far_ms + self._bounds[centre].estimate_ms(request)
             if cheapest is not None and lower_bound_ms >= cheapest.cost:
                 continue
@@ -380,7 +382,7 @@
             crossing_ms = 0.0
             if origin != centre:
                 if is_start:
-                    crossing_ms = self.request.far.first_ms
+                    crossing_ms = self.request.far.first_hop_ms
                 elif not self.request.may_cross:
                     continue
                 else:
@@ -421,7 +423,7 @@
             return None
         required = self._tokens * (stage.layers.end - stage.layers.start)
         is_near = stage.data_centre == self.request.data_centre
-        planned = USABLE_KV_SHARE if is_near else self.request.far.planned_kv
+        planned = USABLE_KV_SHARE if is_near else self.request.far.usable_kv_share
         planned *= self.request.kv_share
         if occupancy.kv_reserved + required > stage.kv_capacity * planned:
             return None
--- a/packages/core/fulmarward_core/paths/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/paths/tests/test_decisions.py
@@ -116,18 +116,18 @@
 
     def test_cost_does_not_grow_with_unused_data_centres(self):
         """Guards against a cost of a choice that grows with the whole fleet."""
-        near = [
+        local = [
             stage
             for step in (5, 8, 10)
             for stage in make_chain(f"{step}-", "a", step=step)
         ]
-        far = [stage for centre in "bcde" for stage in make_chain(centre, centre)]
+        remote = [stage for centre in "bcde" for stage in make_chain(centre, centre)]
 
         def count(stages):
             index = StageIndex(engine=ENGINE, stages=stages)
             return count_calls(lambda: index.choose_path(_REQUEST, read=read_stage))
 
-        self.assertLess(count(near + far), 1.25 * count(near))
+        self.assertLess(count(local + remote), 1.25 * count(local))
 
     @settings(max_examples=300)
     @given(_STAGES, _DRAWN_REQUESTS, st.randoms(use_true_random=False), st.booleans())
@@ -230,8 +230,8 @@
         path = choose_path(engine, slow + fast, _REQUEST)
         self.assertEqual(_list_targets(path), ["fast0", "fast40"])
         narrow = replace(ENGINE, pipe_mbps=1e3)
-        hubs = replace(_REQUEST, far=HUB_TERMS)
-        for other, request in ((narrow, _REQUEST), (engine, hubs)):
+        known_through_hubs = replace(_REQUEST, far=HUB_TERMS)
+        for other, request in ((narrow, _REQUEST), (engine, known_through_hubs)):
             path = choose_path(other, slow + fast, request)
             self.assertNotIn("fast40", _list_targets(path))
 
@@ -240,9 +240,9 @@
         # The remote targets need three quarters of the time per token.
         slow = make_chain("a", "a", pace=4 / 3)
         fast = make_chain("b", "b")
-        for far, expected in ((DIRECT_TERMS, "b"), (HUB_TERMS, "a")):
-            with self.subTest(far=far):
-                path = choose_path(ENGINE, slow + fast, replace(_REQUEST, far=far))
+        for terms, expected in ((DIRECT_TERMS, "b"), (HUB_TERMS, "a")):
+            with self.subTest(terms=terms):
+                path = choose_path(ENGINE, slow + fast, replace(_REQUEST, far=terms))
                 self.assertEqual(_list_targets(path)[0][0], expected)
 
     def test_crossing_path_is_chosen_if_there_is_no_other(self):
--- a/packages/core/fulmarward_core/routing/decisions.py
+++ b/packages/core/fulmarward_core/routing/decisions.py
@@ -57,12 +57,12 @@
     now: float,
     generator: random.Random,
     ask: Ask = PLAIN_ASK,
-    far_costs: Mapping[str, float] | None = None,
+    remote_costs: Mapping[str, float] | None = None,
 ) -> Choice | None:
     """Return the choice among `candidates`, or `None` if none is available.
 
     `data_centre` is that of this instance. `now` is in seconds on the monotonic clock.
-    `far_costs` is the extra cost in seconds by data centre, `REMOTE_PENALTY_S` for
+    `remote_costs` is the extra cost in seconds by data centre, `REMOTE_PENALTY_S` for
     those not in it.
     """
     available = _list_available(candidates, ask, now)
@@ -75,7 +75,7 @@
         below_limit or available, cached, data_centre, generator
     )
     speed = measure_pool(available, now=now)
-    costs = far_costs or {}
+    costs = remote_costs or {}
     scored = []
     for index, view in enumerate(sampled):
         score = _score_view(view, loads[view.name], cached[view.name], speed, ask)
