--- a/packages/core/fulmarward_core/admission/tests/test_buckets.py
+++ b/packages/core/fulmarward_core/admission/tests/test_buckets.py
@@ -30,7 +30,7 @@
             self.assertLessEqual(bucket.level, bucket.depth)
 
     @given(st.lists(st.floats(0, 1000), min_size=1, max_size=12))
-    def test_parts_of_a_share_add_up_to_one(self, demands):
+    def test_parts_of_a_share_add_up_to_the_share(self, demands):
         parts = [
             split_share(
                 own=own,
