--- a/packages/core/fulmarward_core/admission/decisions/_demand.py
+++ b/packages/core/fulmarward_core/admission/decisions/_demand.py
@@ -13,9 +13,9 @@
 MAX_TEAMS_PER_ROW = 32
 
 #: Maximum bytes of rows in one message. With 330 instances, unbounded messages would
-#: exceed the 4 KB/s allowed for control traffic; this is a quarter of that, and
-#: `choose_pause` spaces the messages out. Nine instances with ten teams each still send
-#: all their rows each second.
+#: exceed the 4 KB/s allowed for control traffic; this is a quarter of that, and larger
+#: fleets send messages less often. Nine instances with ten teams each still send all
+#: their rows each second.
 MAX_MESSAGE_BYTES = 1000
 
 #: Number of instances up to which rows are sent each second.
--- a/packages/core/fulmarward_core/loads/_ledger.py
+++ b/packages/core/fulmarward_core/loads/_ledger.py
@@ -137,7 +137,7 @@
         return list(self._peer_reports)
 
     def take_snapshot(self, sequence: int) -> LoadSnapshot:
-        """Return a snapshot of the own loads for hubs, and keep it for `merge_fleet`.
+        """Return a snapshot of the own loads for hubs, and keep it for their reports.
 
         `sequence` must be higher than in any earlier run of this instance.
         """
