--- a/packages/core/fulmarward_core/admission/__init__.py
+++ b/packages/core/fulmarward_core/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Which requests are taken, in what order they run, and what refused ones are told."""
+"""Admission control: team shares, fair queueing, and refusals with a retry delay."""
 
 from fulmarward_core.admission._types import (
     Bucket,
@@ -40,7 +40,7 @@
 )
 from fulmarward_core.admission.decisions._queue import (
     drop_late,
-    estimate_ahead_s,
+    estimate_work_ahead_s,
     pop_next,
     pop_ticket,
     push_ticket,
@@ -62,7 +62,7 @@
     "count_demand",
     "doubt_output",
     "drop_late",
-    "estimate_ahead_s",
+    "estimate_work_ahead_s",
     "estimate_wait_s",
     "expect_output",
     "forget_rows",
--- a/packages/core/fulmarward_core/paths/__init__.py
+++ b/packages/core/fulmarward_core/paths/__init__.py
@@ -1,13 +1,13 @@
-"""Through which targets a request runs the layers of its model."""
+"""Choice of the path of targets that run the layers of a model for a request."""
 
 from fulmarward_core.paths.decisions import (
     DIRECT_TERMS,
     HUB_TERMS,
-    FarTerms,
     Hop,
     Occupancy,
     PathRequest,
     ReadOccupancy,
+    RemoteTerms,
     Stage,
     StageIndex,
     compute_preference,
@@ -17,7 +17,7 @@
 __all__ = [
     "DIRECT_TERMS",
     "HUB_TERMS",
-    "FarTerms",
+    "RemoteTerms",
     "Hop",
     "Occupancy",
     "PathRequest",
