--- a/packages/core/fulmarward_core/suspicion/__init__.py
+++ b/packages/core/fulmarward_core/suspicion/__init__.py
@@ -1,4 +1,4 @@
-"""Which targets are excluded for now, by direct and indirect observation."""
+"""Temporary exclusion of targets, based on direct and indirect observations."""
 
 from fulmarward_core.suspicion._refusals import ROOM_SHARE, RefusalTable
 from fulmarward_core.suspicion._table import (
--- a/packages/core/fulmarward_core/suspicion/_refusals.py
+++ b/packages/core/fulmarward_core/suspicion/_refusals.py
@@ -1,40 +1,41 @@
-"""Targets that reject new work though they have room: they leave without notice."""
+"""Detection of targets that leave unannounced: they reject work with spare capacity."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-#: Rejections with room, with nothing accepted in between, after which a target is
-#: considered to be leaving. One may be due to a load that is not known here yet.
+#: Consecutive rejections despite spare capacity after which a target is considered to
+#: be leaving. A single one may be due to load that this instance does not know of yet.
 MAX_REFUSALS = 2
 
-#: Seconds for which that holds without another rejection; the store's usual outage.
+#: Seconds for which that holds without another rejection: the length of a typical
+#: outage of the store.
 LEAVING_DURATION_S = 8.0
 
-#: Seconds for which a peer's report holds: several heartbeats.
+#: Seconds for which a peer's report is valid: several heartbeat intervals.
 _REPORT_DURATION_S = 2.5
 
-#: Share of a target's KV cache up to which it has room beyond doubt. The rest covers
-#: reservations of peers since their last heartbeat.
+#: Share of a target's KV cache up to which it certainly has spare capacity. The rest
+#: covers reservations that peers made since their last heartbeat.
 ROOM_SHARE = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
 class _Refusals:
-    """Rejections of one target in a row, and when the last one came."""
+    """Number of consecutive rejections by one target, and the time of the last one."""
 
     count: int
     at: float
 
     def show_leaving(self, now: float) -> bool:
-        """Return whether they show that the target is leaving."""
+        """Return whether the rejections indicate that the target is leaving."""
         return self.count >= MAX_REFUSALS and now - self.at <= LEAVING_DURATION_S
 
 
 class RefusalTable:
-    """Targets that reject work although they have room, seen here or reported.
+    """Targets that reject work despite spare capacity, observed here or by peers.
 
-    Guards against targets that leave during an outage of the store, when nobody is
-    notified: every instance would send to each of them again and again, and nobody
+    Guards against targets that leave during an outage of the store, when no instance
+    is notified: every instance would keep sending requests to them, and no other target
     would take over their layers. A target that is leaving rejects all new work.
     """
 
@@ -43,9 +44,9 @@
         self._reported: dict[str, float] = {}
 
     def record_refusal(self, target: str, *, now: float) -> bool:
-        """Record that a target with room rejected a request.
+        """Record that a target with spare capacity rejected a request.
 
-        Returns whether it is considered to be leaving since this rejection.
+        Returns whether this rejection makes it count as leaving.
         """
         known = self._own.get(target)
         is_first = known is None or now - known.at > LEAVING_DURATION_S
@@ -60,18 +61,18 @@
             self._reported.pop(target, None)
 
     def merge_reports(self, targets: Iterable[str], *, now: float) -> None:
-        """Take in which targets a peer considers to be leaving."""
+        """Store a peer's report of the targets that it considers to be leaving."""
         for target in targets:
             self._reported[target] = now
 
     def list_own(self, *, now: float) -> list[str]:
-        """Return the targets that are leaving by direct observation, for peers."""
+        """Return the targets that this instance found leaving, to report to peers."""
         return [
             target for target, known in self._own.items() if known.show_leaving(now)
         ]
 
     def list_all(self, *, now: float) -> list[str]:
-        """Return the targets that are leaving, observed or reported."""
+        """Return the targets that this instance or a peer found leaving."""
         names = {*self._own, *self._reported}
         return [name for name in names if self.is_refusing(name, now=now)]
 
--- a/packages/core/fulmarward_core/suspicion/_table.py
+++ b/packages/core/fulmarward_core/suspicion/_table.py
@@ -1,37 +1,38 @@
-"""Which targets are excluded for now, by direct and indirect observation."""
+"""Temporary exclusion of targets, based on direct and indirect observations."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
 from fulmarward_core.suspicion._refusals import RefusalTable
 
-#: Seconds for which a target that did not answer is excluded, doubled each time up to
-#: the maximum.
+#: Seconds for which a target that did not answer is excluded. Doubled with each
+#: repetition, up to the maximum.
 SUSPECT_DURATION_S = 2.0
 MAX_SUSPECT_DURATION_S = 8.0
 
-#: Seconds for which a target that rejected a request for want of room is excluded; some
-#: of its requests end in that time.
+#: Seconds for which a target that rejected a request for lack of capacity is excluded.
+#: Some of its running requests complete in that time.
 SATURATED_DURATION_S = 0.4
 
-#: Seconds up to which that doubles while a target rejects request after request, and
-#: after which it starts over. Guards against targets that leave during an outage of the
-#: store: every request would try several of them and run out of attempts.
+#: The exclusion doubles up to this many seconds while a target keeps rejecting, and
+#: starts over after `_SATURATED_AGAIN_S` without a rejection. Guards against targets
+#: that leave during an outage of the store: every request would try several of them
+#: and run out of attempts.
 MAX_SATURATED_DURATION_S = 3.2
 _SATURATED_AGAIN_S = 2.0
 
-#: Seconds for which a target is excluded after errors in a row.
+#: Seconds for which a target is excluded after consecutive errors.
 FAILING_DURATION_S = 3.0
 
-#: Errors in a row after which a target is excluded; a single one is chance.
+#: Consecutive errors after which a target is excluded. A single one may be chance.
 MAX_ERRORS = 2
 
-#: Share of a service's targets that may be excluded. Beyond it the fault is more likely
-#: this instance's own.
+#: Share of a service's targets that may be excluded. If more targets seem to fail, the
+#: cause is more likely this instance or its own link.
 MAX_SUSPECTED_SHARE = 0.5
 
-#: Reasons of targets that do not answer, as observed here; `address` where another
-#: target answers at the address.
+#: Reasons for which this instance itself found a target unreachable. `address` means
+#: that another target answers at the address.
 _DIRECT = frozenset({"unreachable", "confirmed", "address"})
 _INDIRECT = "indirect"
 
@@ -42,32 +43,32 @@
 
     #: Name of the target.
     target: str
-    #: Until when, seconds on the steady clock.
+    #: End of the exclusion, in seconds on the steady clock.
     until: float
-    #: Seconds for which it was excluded the last time.
+    #: Duration of the last exclusion in seconds.
     lasted_s: float
-    #: When it was last suspected; for a failure seen here, when that was last seen.
+    #: Start of the suspicion; for a failure observed here, its latest observation.
     since: float
     #: `unreachable`, `address` (another target answers there), `saturated`, `failing`,
-    #: `indirect` (reported by a peer) or `confirmed` (reported, and seen here too).
+    #: `indirect` (reported by a peer) or `confirmed` (reported, and observed here too).
     reason: str
-    #: Errors in a row.
+    #: Consecutive errors.
     errors: int = 0
-    #: Whether a stream made progress through it after the failure was seen, so that it
-    #: is to be probed again.
+    #: Whether a stream through it made progress after the failure was observed, so that
+    #: the target has to be probed again.
     is_contradicted: bool = False
 
 
 class SuspicionTable:
-    """Suspicions by target."""
+    """The current suspicion of each target."""
 
     def __init__(self) -> None:
         self._suspicions: dict[str, Suspicion] = {}
-        #: When targets that a peer reported unreachable answered a probe from here.
+        #: When targets that a peer reported unreachable answered this instance's probe.
         self._answered_at: dict[str, float] = {}
-        #: Targets that reject work although they have room.
+        #: Targets that reject work despite spare capacity.
         self.refusals = RefusalTable()
-        #: Rises when a target comes under suspicion of being unreachable.
+        #: Incremented when a target is newly suspected of being unreachable.
         self.revision = 0
 
     def record_failure(
@@ -104,8 +105,8 @@
     def _confirm(self, reported: Suspicion, now: float) -> None:
         """Record that a reported failure was observed here too.
 
-        It is not reported on: otherwise a failure that all instances observe would make
-        each of them notify all others.
+        The observation is not reported to peers: otherwise a failure that all instances
+        observe would make each of them notify all others.
         """
         self._suspicions[reported.target] = replace(
             reported, reason="confirmed", since=now
@@ -115,7 +116,7 @@
     def record_indirect_failure(
         self, target: str, *, duration_s: float, now: float
     ) -> bool:
-        """Exclude a target that a peer reported unreachable from new paths.
+        """Exclude a target from new paths because a peer reported it unreachable.
 
         Running streams are not aborted (`is_unreachable`): the peer may be isolated.
 
@@ -143,11 +144,11 @@
     def record_answer(self, target: str, *, asked_at: float) -> bool:
         """Record that a target answered a probe.
 
-        A direct observation takes precedence over reports for as long as a suspicion
-        lasts, since the peer repeats its report with each heartbeat. A report that came
-        after the probe was sent stays: the target may have died since.
+        A direct observation takes precedence over reports for the duration of a
+        suspicion, since the peer repeats its report with each heartbeat. A report that
+        arrived after the probe was sent is kept: the target may have failed since.
 
-        Returns whether a peer's report was dropped.
+        Returns whether a peer's report was discarded.
         """
         known = self._suspicions.get(target)
         if known is None or known.reason != _INDIRECT or asked_at < known.since:
@@ -157,9 +158,9 @@
         return True
 
     def list_ending(self, *, now: float, ahead_s: float) -> list[str]:
-        """Return the targets unreachable from here whose suspicion ends soon.
+        """Return the unreachable targets whose suspicion ends within `ahead_s` seconds.
 
-        That is within `ahead_s` seconds.
+        Only targets that this instance itself found unreachable are included.
         """
         return [
             name
@@ -168,9 +169,9 @@
         ]
 
     def extend(self, target: str, *, now: float) -> None:
-        """Exclude an unreachable target that still does not answer for longer.
+        """Extend the exclusion of an unreachable target that still does not answer.
 
-        Guards against all instances sending work to it again at the same moment.
+        Guards against all instances sending work to it again at the same time.
         """
         known = self._suspicions.get(target)
         if known is not None and known.reason == "unreachable":
@@ -180,7 +181,7 @@
             )
 
     def record_saturated(self, target: str, *, now: float) -> None:
-        """Record that a target rejected a request: no room, or its layers change."""
+        """Record that a target lacks capacity or is changing its layers."""
         known = self._suspicions.get(target)
         if known is not None and now < known.until:
             return
@@ -198,12 +199,12 @@
         )
 
     def record_error(self, target: str, *, now: float) -> bool:
-        """Record that a target answered with an error, or broke its answer off.
+        """Record that a target answered with an error or an incomplete response.
 
-        Guards against errors that replace a known failure: an unreachable target breaks
-        answers off too. Streams through it would stall, and peers would hear nothing.
-        A failure seen here stays, and any other suspicion does until the errors alone
-        exclude the target.
+        Guards against errors that replace a known failure: an unreachable target also
+        truncates responses. Streams through it would stall, and peers would not be
+        notified. A failure observed here is kept; any other suspicion is kept until the
+        errors alone exclude the target.
 
         Returns whether the target is excluded now.
         """
@@ -223,13 +224,13 @@
         return is_out
 
     def record_success(self, target: str, *, now: float) -> None:
-        """Record that a target answered well."""
+        """Record that a target served a request without an error."""
         known = self._suspicions.get(target)
         if known is not None and now >= known.until:
             del self._suspicions[target]
 
     def record_restart(self, target: str) -> None:
-        """Forget what was observed of a target before it restarted."""
+        """Discard the observations of a target from before its restart."""
         self._suspicions.pop(target, None)
 
     def is_suspect(self, target: str, *, now: float) -> bool:
@@ -238,10 +239,10 @@
         return known is not None and now < known.until
 
     def is_unreachable(self, target: str, *, now: float) -> bool:
-        """Return whether a target was observed here not to answer at all.
+        """Return whether this instance itself found that a target does not answer.
 
-        Only this aborts what runs there: a target that a peer reported, or that answers
-        with errors, may still serve.
+        Only this aborts running requests: a target that a peer reported, or that
+        answers with errors, may still serve them.
         """
         known = self._suspicions.get(target)
         return known is not None and now < known.until and known.reason in _DIRECT
@@ -249,11 +250,11 @@
     def is_unreachable_since(
         self, target: str, *, served_at: float, now: float
     ) -> bool:
-        """Return whether a target is unreachable for a stream that it served last then.
+        """Return whether a target is unreachable for a stream that it last served then.
 
-        Guards against aborting streams through a healthy target: one that made progress
-        after the failure was last seen is served by the target, until the failure is
-        seen again.
+        Guards against aborting streams through a healthy target: a stream that made
+        progress after the failure was last observed is still served by the target,
+        until the failure is observed again.
         """
         known = self._suspicions.get(target)
         return self.is_unreachable(target, now=now) and served_at <= known.since
@@ -261,7 +262,7 @@
     def record_progress(self, target: str, *, served_at: float, now: float) -> bool:
         """Record that a stream made progress.
 
-        Returns whether that contradicts a failure seen here.
+        Returns whether that contradicts a failure observed here.
         """
         if not self.is_unreachable(target, now=now):
             return False
@@ -272,7 +273,7 @@
         return True
 
     def may_probe(self, target: str, *, now: float) -> bool:
-        """Return whether probing a target can change what is known of it."""
+        """Return whether a probe of the target can yield new information."""
         known = self._suspicions.get(target)
         return not self.is_unreachable(target, now=now) or known.is_contradicted
 
@@ -282,7 +283,7 @@
         return known is not None and now < known.until and known.reason == _INDIRECT
 
     def list_direct_failures(self, *, now: float) -> list[Suspicion]:
-        """Return the failures observed here, for peers."""
+        """Return the failures observed here, to report to peers."""
         return [
             item
             for item in self._suspicions.values()
@@ -290,7 +291,7 @@
         ]
 
     def list_indirect_failures(self, *, now: float) -> list[Suspicion]:
-        """Return the failures that peers reported, for those that do not hear them."""
+        """Return the failures reported by peers, to relay to subscribed instances."""
         return [
             item
             for item in self._suspicions.values()
@@ -300,8 +301,8 @@
     def list_suspects(self, targets: Iterable[str], *, now: float) -> frozenset[str]:
         """Return which of a service's targets to exclude.
 
-        Where these are too many, targets that only a peer reported are not among them;
-        where direct observations alone are too many, nobody is.
+        If the suspects exceed `MAX_SUSPECTED_SHARE`, only those observed here are
+        excluded; if these alone exceed it, no target is excluded.
         """
         names = list(targets)
         max_suspects = len(names) * MAX_SUSPECTED_SHARE
