--- a/packages/core/fulmarward_core/probing/__init__.py
+++ b/packages/core/fulmarward_core/probing/__init__.py
@@ -1,4 +1,4 @@
-"""Which of the targets that were probed are unreachable, judged beside controls."""
+"""Evaluation of probe rounds: which targets are unreachable, compared with controls."""
 
 from fulmarward_core.probing.decisions import (
     CONFIRM_TIMEOUT_S,
--- a/packages/core/fulmarward_core/probing/decisions.py
+++ b/packages/core/fulmarward_core/probing/decisions.py
@@ -1,9 +1,9 @@
-"""Which of the targets that were probed are unreachable, judged beside controls.
+"""Evaluation of probe rounds: which targets are unreachable, compared with controls.
 
-An instance whose own link is saturated or cut gets no answers, so that all that it
-probes look unreachable. A missing answer counts only if another target answered a probe
-that was sent in the same moment. Traffic that arrives unasked proves nothing: a link
-that is saturated in one direction still carries the other one.
+To an instance whose own link is saturated or down, every target looks unreachable. A
+missing answer therefore counts only if another target answered a probe that was sent at
+the same time. Unsolicited incoming traffic proves nothing: a link that is saturated in
+one direction still works in the other.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -14,37 +14,37 @@
 
 from fulmarward_core.fleet import TargetRecord
 
-#: Seconds in which a target answers a probe; a report takes no slot.
+#: Seconds within which a target answers a probe: a report does not occupy a slot.
 PROBE_TIMEOUT_S = 0.035
 
-#: Seconds for a second probe where the first round is in doubt: most targets did not
-#: answer, answers were slow, or this instance was late itself. Elsewhere the second
-#: probe is as short as the first, so that streams do not pause for too long.
+#: Timeout in seconds of a second probe if the first round is inconclusive: most targets
+#: did not answer, answers were slow, or this instance itself was late. Otherwise the
+#: second probe is as short as the first, so that streams do not pause for too long.
 CONFIRM_TIMEOUT_S = 0.25
 
-#: Seconds by which the end of a round may be late.
+#: Seconds by which a round may end after its timeout.
 MAX_LATENESS_S = 0.015
 
 #: Seconds for which the event loop may have been blocked during a short round. Answers
-#: that arrive meanwhile look missing.
+#: that arrive while it is blocked look missing.
 MAX_PAUSE_S = 0.01
 
-#: Calls that one probe makes, evenly apart, until one is answered. A single lost packet
-#: leaves a call unanswered for a second.
+#: Calls per probe, evenly spaced, until one is answered. A single lost packet delays a
+#: call's answer by a second.
 PROBE_CALLS = 3
 
 #: Share of a long round for which the event loop may have been blocked.
 MAX_PAUSE_SHARE = 0.5
 
-#: Share of the timeout after which the usual answer counts as slow: a link that fills
-#: up delays all answers, and drops some of them first.
+#: Share of the timeout above which the median answer counts as slow. A link that
+#: becomes saturated delays all answers and drops some of them.
 MAX_ANSWER_SHARE = 0.5
 
-#: Lower bound on the targets of a round: the one in question and two controls, one of
-#: whose data centres may be cut off as well.
+#: Minimum number of targets in a round: the one in question and two controls, since the
+#: data centre of one control may be unreachable as well.
 MIN_PROBED = 3
 
-#: Controls of a round that probes missing targets again.
+#: Controls in a round that repeats the probes of missing targets.
 REPEAT_CONTROLS = 2
 
 _Item = TypeVar("_Item")
@@ -52,36 +52,36 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProbeRound:
-    """The answers of several targets that were probed in the same moment."""
+    """The answers of several targets that were probed at the same time."""
 
-    #: Names of all that were probed, controls included.
+    #: Names of all probed targets, including controls.
     probed: Sequence[str]
-    #: Seconds that an answer took, by the name of the target that gave it.
+    #: Latency of each answer in seconds, by target name.
     answers: Mapping[str, float]
     #: The timeout of each probe and the duration of the round, in seconds.
     timeout_s: float
     took_s: float
-    #: Seconds of these for which the event loop was blocked.
+    #: Seconds during the round for which the event loop was blocked.
     paused_s: float = 0.0
-    #: Whether targets that did not answer before are probed again.
+    #: Whether the round repeats the probes of targets that did not answer before.
     is_repeat: bool = False
-    #: Names of those that are probed for comparison only.
+    #: Names of the targets that are probed for comparison only.
     controls: Collection[str] = ()
 
     def __post_init__(self) -> None:
         if not set(self.answers) <= set(self.probed):
             raise ValueError(
-                f"expected answers of {self.probed}, found {set(self.answers)}"
+                f"expected answers only from {self.probed}, got {set(self.answers)}"
             )
 
     @property
     def is_late(self) -> bool:
-        """Whether this instance was late itself."""
+        """Whether this instance ended the round too late after its timeout."""
         return self.took_s > self.timeout_s + MAX_LATENESS_S
 
     @property
     def is_paused(self) -> bool:
-        """Whether the event loop was blocked for too long to see answers in time."""
+        """Whether the event loop was blocked too long to receive answers in time."""
         return self.paused_s > MAX_PAUSE_S
 
     @property
@@ -91,12 +91,12 @@
 
     @property
     def missing(self) -> tuple[str, ...]:
-        """Names of those that did not answer."""
+        """Names of the targets that did not answer, including controls."""
         return tuple(name for name in self.probed if name not in self.answers)
 
     @property
     def missing_in_question(self) -> tuple[str, ...]:
-        """Names of those that did not answer, without the controls."""
+        """Names of the targets that did not answer, without the controls."""
         return tuple(name for name in self.missing if name not in self.controls)
 
     @property
@@ -107,27 +107,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProbeVerdict:
-    """What follows from a round."""
+    """The result of evaluating a probe round."""
 
     #: Names of the targets that are unreachable.
     unreachable: tuple[str, ...] = ()
-    #: Timeout in seconds for probing the missing ones again, `None` if not needed.
+    #: Timeout in seconds for probing the missing targets again, `None` if not needed.
     retry_timeout_s: float | None = None
-    #: Whether this instance is isolated: the round says nothing about the targets.
+    #: Whether this instance is isolated: the round proves nothing about the targets.
     is_isolated: bool = False
-    #: Names of controls that did not answer: to be probed in their own right.
+    #: Names of the controls that did not answer and are to be probed next.
     suspects: tuple[str, ...] = ()
 
 
 def evaluate_round(probe_round: ProbeRound) -> ProbeVerdict:
     """Return which targets are unreachable, or how to probe them again.
 
-    Guards against a pause of the event loop that ends together with the round: the
-    timeouts are handled before the answers that arrived meanwhile, the round is not
-    late, and a healthy target would be unreachable.
+    Guards against an event loop that is blocked until the round ends: the timeouts fire
+    before the answers that arrived in between are read, the round is not late, and a
+    healthy target would count as unreachable.
 
-    One missing answer of a control makes it a suspect: the first one of a target in
-    question has been preceded by stalled streams or a failed connection.
+    A control that does not answer once only becomes a suspect. A target in question is
+    judged by its first missing answer, since stalled streams or a failed connection
+    preceded it.
     """
     missing = probe_round.missing
     if not missing:
@@ -152,7 +153,7 @@
 
 
 def _hears_controls(probe_round: ProbeRound) -> bool:
-    """Return whether answers arrived well within the timeout."""
+    """Return whether the median answer arrived well within the timeout."""
     if not probe_round.answers:
         return False
     usual_s = median(probe_round.answers.values())
@@ -160,9 +161,10 @@
 
 
 def count_controls(in_question: int, *, is_repeat: bool = False) -> int:
-    """Return how many controls to probe beside the targets in question.
+    """Return how many controls to probe together with the targets in question.
 
-    A round that is large enough has answers of its own.
+    A round with enough targets in question needs no controls: these serve as controls
+    for each other.
     """
     if is_repeat:
         return REPEAT_CONTROLS
@@ -177,15 +179,15 @@
     count: int,
     offset: int,
 ) -> list[TargetRecord]:
-    """Return the controls to probe, each in another data centre.
+    """Return the controls to probe, spread over as many data centres as possible.
 
-    `excluded` are the targets in question and the unreachable ones; `offset` rotates
-    the choice. `suspected` targets are chosen only where too few others are left: one
-    that is dead prolongs the round, but without any control nothing is ever found to be
+    `excluded` holds the targets in question and the unreachable ones; `offset` rotates
+    the choice. `suspected` targets are chosen only if there are too few others: a dead
+    control prolongs the round, but without any control no target is ever found to be
     unreachable.
     """
     healthy = [r for r in records if not r.is_leaving and r.name not in excluded]
-    # A report of one that holds layers takes no slot.
+    # A report of a target that holds layers does not occupy a slot.
     usable = [r for r in healthy if r.layers is not None] or healthy
     groups: dict[str, list[TargetRecord]] = {}
     for record in sorted(usable, key=lambda r: (r.data_centre, r.name)):
