--- a/packages/core/fulmarward_core/membership/__init__.py
+++ b/packages/core/fulmarward_core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances there are, as one instance believes."""
+"""Gossip-based membership: the instances of the fleet as seen by one instance."""
 
 from fulmarward_core.membership._types import (
     Incarnation,
--- a/packages/core/fulmarward_core/membership/_types.py
+++ b/packages/core/fulmarward_core/membership/_types.py
@@ -1,18 +1,16 @@
-"""Types of the membership slice."""
+"""Types of the membership package."""
 
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 
-#: Buckets by which two tables are compared. Load: 330 members; harm: a whole table is
-#: 26 KB; reason: one member that differs costs 16 digests and a sixteenth of that.
+#: Number of buckets by which two member tables are compared. A whole table of 330
+#: members takes 26 KB; with buckets, one differing member costs 16 digests and one
+#: sixteenth of the table.
 BUCKETS = 16
 
 
 class MemberState(IntEnum):
-    """What is believed of an instance.
-
-    Of two rumours of one version the higher state wins.
-    """
+    """State of an instance. Of two rumours of one version the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -22,31 +20,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Incarnation:
-    """One run of an instance. A restarted instance is another incarnation."""
+    """One run of an instance. A restart creates a new incarnation."""
 
-    #: The instance's name.
     name: str
-    #: Number of the run; a later run of the same name has a higher one.
+    #: Number of the run. Later runs under the same name have higher numbers.
     boot: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class Member:
-    """What is said of one instance; rumours of it carry just this."""
+    """An instance as described by a gossip rumour."""
 
-    #: The instance's name.
     name: str
     #: Number of its run.
     boot: int
-    #: Raised by the instance itself to refute a rumour about it.
+    #: Incremented by the instance itself to refute a rumour about it.
     version: int
-    #: What is believed.
     state: MemberState
-    #: Its data centre.
     data_centre: str
-    #: Where peers reach it, `IP:PORT`.
+    #: Address for peers, `IP:PORT`.
     peer_address: str
-    #: Where callers reach it, `IP:PORT`.
+    #: Address for callers, `IP:PORT`.
     caller_address: str
 
 
@@ -54,42 +48,41 @@
 class Listed:
     """An instance on the platform's list."""
 
-    #: Its name.
     name: str
-    #: Where peers reach it, `IP:PORT`.
+    #: Address for peers, `IP:PORT`.
     peer_address: str
-    #: Whether the platform is taking it away.
+    #: Whether the platform is removing the instance.
     is_leaving: bool
 
 
 class Miss(Enum):
     """What to do after a heartbeat without an answer."""
 
-    #: Try again: one lost heartbeat says little.
+    #: Repeat the heartbeat: a single missed one proves little.
     TRY_AGAIN = "try_again"
-    #: Have others try before anything is said.
+    #: Have other members probe the instance before it is suspected.
     ASK_OTHERS = "ask_others"
 
 
 @dataclass(kw_only=True)
 class MemberTable:
-    """All members known to one instance, itself included."""
+    """All members known to one instance, including itself."""
 
-    #: The instance's own name.
+    #: Name of the instance that owns the table.
     own_name: str
     #: Members by name.
     members: dict[str, Member] = field(default_factory=dict)
-    #: When each came to be suspected, seconds on the steady clock.
+    #: Start of each suspicion, in seconds on the steady clock.
     suspected_at: dict[str, float] = field(default_factory=dict)
-    #: When each was found dead, seconds on the steady clock.
+    #: When each dead member was declared dead, in seconds on the steady clock.
     dead_at: dict[str, float] = field(default_factory=dict)
-    #: How often each recent change is still to be told, by name.
+    #: Remaining transmissions of each recent change, by member name.
     untold: dict[str, int] = field(default_factory=dict)
-    #: Digests of the members by bucket; dead ones do not count.
+    #: Digest of each bucket, without dead members.
     digests: list[int] = field(default_factory=lambda: [0] * BUCKETS)
-    #: Raised by every change.
+    #: Incremented with every change of `members`.
     revision: int = 0
-    #: What the platform's list named last, by name.
+    #: The entries of the last platform list, by name.
     listed: dict[str, Listed] = field(default_factory=dict)
-    #: Since when each member is missing on the platform's list.
+    #: Since when each member has been absent from the platform's list.
     unlisted_at: dict[str, float] = field(default_factory=dict)
--- a/packages/core/fulmarward_core/membership/decisions/__init__.py
+++ b/packages/core/fulmarward_core/membership/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about members; all pure."""
+"""Membership decisions, as functions without I/O."""
--- a/packages/core/fulmarward_core/membership/decisions/_listing.py
+++ b/packages/core/fulmarward_core/membership/decisions/_listing.py
@@ -1,4 +1,4 @@
-"""What the platform's list and the seeds are good for."""
+"""Use of the platform's list of instances and of the seed addresses."""
 
 import random
 from collections.abc import Iterable, Sequence
@@ -10,23 +10,24 @@
     MemberTable,
 )
 
-#: Mean seconds between two reads of the platform's list by one instance of a fleet
-#: of up to `LIST_MEMBERS`, and the most for any. Load: 330 instances, a list of them
-#: is 50 KB; harm: at five seconds it would take 10 KB/s from each, of 4; reason: at
-#: two minutes it takes 0.4 KB/s, the fleet still reads it thrice a second, and what
-#: it tells is a hint beside the heartbeats.
-LIST_S = 5.0
+#: Mean seconds between two reads of the platform's list by one instance, in a fleet of
+#: up to `BASE_FLEET_SIZE` instances.
+BASE_LIST_INTERVAL_S = 5.0
 
-LIST_MEMBERS = 9
+BASE_FLEET_SIZE = 9
 
-MOST_LIST_S = 120.0
+#: Maximum of that mean for larger fleets. A list of 330 instances is 50 KB: read every
+#: five seconds it would take 10 KB/s of the 4 KB/s that each instance may use. Read
+#: every two minutes it takes 0.4 KB/s, and the whole fleet still reads it three times a
+#: second. The list is only a hint in addition to the heartbeats.
+MAX_LIST_INTERVAL_S = 120.0
 
 
 def take_list(table: MemberTable, listed: Iterable[Listed], *, now: float) -> None:
-    """Keep what the platform's list names, as a hint in both directions.
+    """Store the platform's list and update since when members are absent from it.
 
-    It lags: a name on it may be dead, and a new instance may be missing. So it never
-    changes a member's state by itself.
+    The list lags: it may name dead instances and lack new ones. It is only a hint and
+    never changes a member's state by itself.
     """
     table.listed = {entry.name: entry for entry in listed}
     for name in table.members:
@@ -41,7 +42,7 @@
 def list_usable(table: MemberTable) -> list[Member]:
     """Return the members that callers may be sent to.
 
-    A member that the platform lists as leaving is left out while the list says so.
+    Members that the platform lists as leaving are excluded.
     """
     return [
         member
@@ -52,10 +53,10 @@
 
 
 def list_strangers(table: MemberTable, seeds: Sequence[str]) -> list[str]:
-    """Return addresses that may hold an instance with which no link stands.
+    """Return the addresses of possible instances that are not live members.
 
-    Guards against two data centres that were parted for so long that each holds the
-    other dead, or has forgotten it: one address tried now and then joins them again.
+    Guards against a network partition that lasted so long that each side considers the
+    other dead or has forgotten it: trying one of these addresses periodically heals it.
     """
     own = table.members[table.own_name].peer_address
     known = {
@@ -76,9 +77,13 @@
 ) -> float:
     """Return the seconds until this instance reads the platform's list again.
 
-    The mean grows with the fleet, so that all together read it two or three times a
-    second at any size. It doubles with each failure, so that the end of an outage
-    meets reads that are spread out.
+    The mean grows with the fleet, so that the whole fleet reads the list two or three
+    times a second at any size. It doubles with each failure, so that the reads after an
+    outage are spread out.
     """
-    mean = LIST_S * max(1.0, members / LIST_MEMBERS) * 2 ** min(failures, 3)
-    return min(mean, MOST_LIST_S) * generator.uniform(0.5, 1.5)
+    mean = (
+        BASE_LIST_INTERVAL_S
+        * max(1.0, members / BASE_FLEET_SIZE)
+        * 2 ** min(failures, 3)
+    )
+    return min(mean, MAX_LIST_INTERVAL_S) * generator.uniform(0.5, 1.5)
--- a/packages/core/fulmarward_core/membership/decisions/_neighbours.py
+++ b/packages/core/fulmarward_core/membership/decisions/_neighbours.py
@@ -1,4 +1,4 @@
-"""Whom an instance sends heartbeats to, and how often."""
+"""Which members an instance sends heartbeats to, and how often."""
 
 from collections.abc import Sequence
 
@@ -8,9 +8,10 @@
 )
 
 #: Seconds between two heartbeats to the nearest neighbours in the ring, and to the
-#: others. Load: 330 instances with 9 neighbours each; harm: 36 messages a second for
-#: each instance; reason: two watch over each member every second and notice its loss,
-#: the far ones carry news, which is sent when it happens and does not wait for them.
+#: others. With one interval of a second for all, each of 330 instances, with 9
+#: neighbours, would handle 36 messages a second. Two neighbours check each member every
+#: second and detect its failure. The far ones only spread rumours, and new rumours are
+#: sent at once instead of with the next heartbeat.
 NEAR_HEARTBEAT_S = 1.0
 
 FAR_HEARTBEAT_S = 3.0
@@ -21,10 +22,10 @@
 def select_neighbours(table: MemberTable) -> list[str]:
     """Return the members that this instance sends heartbeats to, near ones first.
 
-    In the order of names they are the ones 1, 2, 4, 8, ... places on. A rumour so
-    reaches n members in about log2(n) hops, and an instance of 330 has 9 neighbours
-    in place of 329: 330 members at one 40-byte heartbeat each second to everyone is
-    13 KB/s, three times the budget.
+    These are the members 1, 2, 4, 8, ... positions after it in the ring of names. A
+    rumour thus reaches n members in about log2(n) hops, and each of 330 instances has 9
+    neighbours instead of 329. With one 40-byte heartbeat a second to each of 330
+    members, an instance would send 13 KB/s, three times its budget.
     """
     ring = sorted(
         name
@@ -34,12 +35,12 @@
     if table.own_name not in ring:
         return []
     own = ring.index(table.own_name)
-    steps = []
-    step = 1
-    while step < len(ring):
-        steps.append(ring[(own + step) % len(ring)])
-        step *= 2
-    return steps
+    neighbours = []
+    distance = 1
+    while distance < len(ring):
+        neighbours.append(ring[(own + distance) % len(ring)])
+        distance *= 2
+    return neighbours
 
 
 def choose_heartbeat(neighbours: Sequence[str], name: str) -> float:
--- a/packages/core/fulmarward_core/membership/decisions/_rumours.py
+++ b/packages/core/fulmarward_core/membership/decisions/_rumours.py
@@ -1,4 +1,4 @@
-"""Merging, telling and levelling what is said of members."""
+"""Merging and spreading rumours, and comparing member tables."""
 
 import hashlib
 from collections.abc import Sequence
@@ -11,19 +11,21 @@
     MemberTable,
 )
 
-#: Most members kept. Harm: memory taken by names that a faulty peer makes up; reason:
-#: three times the 330 of the design.
-MOST_MEMBERS = 1_000
+#: Maximum number of members in a table: three times the design size of 330. Bounds the
+#: memory that a faulty peer can take with invented names.
+MAX_MEMBERS = 1_000
 
-#: Rumours in one message. Load: 330 instances started at once, each told 27 times;
-#: harm: at twelve a message 8 KB/s for minutes, of 4; reason: at four 2.8 KB/s, and
-#: the least told go first, so that a lost data centre's 17 are out in five heartbeats.
-MOST_RUMOURS = 4
+#: Maximum number of rumours in one message. If 330 instances start at the same time,
+#: each of these changes is sent 27 times: with twelve rumours a message that takes
+#: 8 KB/s for minutes, of 4 KB/s allowed; with four it takes 2.8 KB/s. The least often
+#: sent rumours go first, so that the 17 of a failed data centre are sent within five
+#: heartbeats.
+MAX_RUMOURS_PER_MESSAGE = 4
 
-#: A change is told this many times log2(members). Harm: with too few some members
-#: never hear it and need a comparison of tables; reason: 3 reaches all but a few in a
-#: thousand, as in the literature on gossip, and the comparison catches those.
-TELL_FACTOR = 3
+#: A change is sent this many times log2(members). According to the literature on
+#: gossip, a factor of 3 reaches all but a few members in a thousand; the comparison of
+#: tables reaches the rest.
+TRANSMIT_FACTOR = 3
 
 
 def _rank(member: Member) -> tuple[int, int, int]:
@@ -31,25 +33,24 @@
 
 
 def is_newer(rumour: Member, known: Member | None) -> bool:
-    """Return whether a rumour goes before what is known of the same name.
+    """Return whether a rumour supersedes the known entry of the same name.
 
-    A later boot beats an earlier one, a later version of the same boot an earlier
-    version, and of the same version the worse state wins, so that rumours that
-    arrive in any order end in the same table everywhere.
+    A higher boot number wins, then a higher version, then the worse state. Tables thus
+    converge whatever the order in which rumours arrive.
     """
     return known is None or _rank(rumour) > _rank(known)
 
 
 def find_bucket(name: str) -> int:
-    """Return the bucket of a member."""
+    """Return the number of the bucket that a member belongs to."""
     return hashlib.blake2b(name.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
 def _digest(member: Member | None) -> int:
-    """Return a member's part of its bucket's digest; dead ones have none.
+    """Return a member's contribution to its bucket's digest, 0 if it is dead.
 
-    Dead members are forgotten at other times everywhere, and tables that differ in
-    nothing else need not be compared.
+    Each instance forgets dead members at another time; tables that differ only in these
+    need no synchronization.
     """
     if member is None or member.state is MemberState.DEAD:
         return 0
@@ -57,7 +58,7 @@
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=7).digest())
 
 
-def place(table: MemberTable, name: str, member: Member | None) -> None:
+def set_member(table: MemberTable, name: str, member: Member | None) -> None:
     known = table.members.get(name)
     table.digests[find_bucket(name)] ^= _digest(known) ^ _digest(member)
     table.revision += 1
@@ -68,43 +69,44 @@
 
 
 def _note_since(
-    since: dict[str, float], member: Member, state: MemberState, now: float
+    times: dict[str, float], member: Member, state: MemberState, now: float
 ) -> None:
     if member.state is state:
-        since.setdefault(member.name, now)
+        times.setdefault(member.name, now)
     else:
-        since.pop(member.name, None)
+        times.pop(member.name, None)
 
 
-def count_tellings(members: int) -> int:
-    """Return how often a change is told in a fleet of `members`."""
-    return TELL_FACTOR * max(1, members.bit_length())
+def count_transmissions(members: int) -> int:
+    """Return how often a change is sent in a fleet of `members` instances."""
+    return TRANSMIT_FACTOR * max(1, members.bit_length())
 
 
 def merge_member(table: MemberTable, rumour: Member, *, now: float) -> bool:
-    """Take in a rumour if it is newer than what is believed; return whether it was.
+    """Merge a rumour into the table; return whether it was newer than the known entry.
 
-    What was news here is told on. What comes again and is no news is told once less,
-    but once at least: others are telling it too, and most have heard it.
+    A newer rumour is queued for sending. A duplicate of a queued one reduces its
+    remaining transmissions by one, down to one: others are sending it too, and most
+    members have received it.
     """
     known = table.members.get(rumour.name)
     if not is_newer(rumour, known):
         if rumour == known and table.untold.get(rumour.name, 0) > 1:
             table.untold[rumour.name] -= 1
         return False
-    if known is None and len(table.members) >= MOST_MEMBERS:
+    if known is None and len(table.members) >= MAX_MEMBERS:
         return False
-    place(table, rumour.name, rumour)
+    set_member(table, rumour.name, rumour)
     _note_since(table.suspected_at, rumour, MemberState.SUSPECT, now)
     _note_since(table.dead_at, rumour, MemberState.DEAD, now)
-    table.untold[rumour.name] = count_tellings(len(table.members))
+    table.untold[rumour.name] = count_transmissions(len(table.members))
     return True
 
 
 def take_rumours(table: MemberTable) -> tuple[Member, ...]:
-    """Return the changes to tell in the next message, the least told first."""
+    """Return the rumours for the next message, the least often sent first."""
     names = sorted(table.untold, key=table.untold.__getitem__, reverse=True)
-    names = names[:MOST_RUMOURS]
+    names = names[:MAX_RUMOURS_PER_MESSAGE]
     for name in names:
         table.untold[name] -= 1
         if table.untold[name] <= 0:
@@ -113,7 +115,7 @@
 
 
 def combine_digests(table: MemberTable) -> int:
-    """Return a number that is equal for equal member tables."""
+    """Return the digest of the whole table. Equal tables have equal digests."""
     combined = 0
     for digest in table.digests:
         combined ^= digest
@@ -121,11 +123,11 @@
 
 
 def select_differing(table: MemberTable, digests: Sequence[int]) -> list[Member]:
-    """Return the members in the buckets that another table has differently.
+    """Return the members in the buckets whose digests differ from another table's.
 
-    The dead are among them for as long as they are remembered. Guards against a
-    member that lives and is held dead here alone: its own side has no news of it, and
-    only by hearing that it is held dead can it say that it lives.
+    Dead members are included until they are forgotten. Guards against a live member
+    that only this table considers dead: the other table has no change to send, and the
+    member can refute the rumour only once it receives it.
     """
     differing = {
         number
@@ -140,15 +142,15 @@
 
 
 def refute_rumour(own: Member, rumour: Member) -> Member | None:
-    """Return this instance's newer word when `rumour` says something false of it.
+    """Return a newer entry of this instance that refutes a false rumour about it.
 
-    Guards against an instance that was paused or cut off and is believed dead: it
-    is left out of the discovery answers until it says, with a higher version, that
-    it lives.
+    Guards against an instance that was paused or isolated and is considered dead: it is
+    missing from discovery answers until it announces with a higher version that it is
+    alive.
 
-    Guards too against a restart under a wall clock that went back: peers know a
-    higher boot of this name than the new run's, and hold its word for old news. It
-    takes the boot after theirs, and not theirs, which is its predecessor's.
+    Also guards against a restart after the wall clock was set back: peers know a higher
+    boot number of this name and ignore the new run's entry as outdated. The new run
+    takes the next higher boot number, since the known one belongs to its predecessor.
     """
     if (rumour.boot, rumour.version) > (own.boot, own.version):
         return replace(own, boot=rumour.boot + 1, version=1)
--- a/packages/core/fulmarward_core/membership/decisions/_silence.py
+++ b/packages/core/fulmarward_core/membership/decisions/_silence.py
@@ -1,4 +1,4 @@
-"""Suspecting silent members, holding them dead, forgetting them."""
+"""Failure detection: suspecting, declaring dead and forgetting unresponsive members."""
 
 import random
 from dataclasses import replace
@@ -9,36 +9,36 @@
     MemberTable,
     Miss,
 )
-from fulmarward_core.membership.decisions._rumours import place
+from fulmarward_core.membership.decisions._rumours import set_member
 
-#: Heartbeats in a row without an answer after which others are asked. Load: one each
-#: second; harm: an instance suspected for one lost packet; reason: two in a row, and
-#: then two others that do not reach it either, are rarely chance.
+#: Consecutive missed heartbeats, at one a second, after which other members probe the
+#: instance. A single one may be a lost packet. Two in a row, followed by the failed
+#: probes of two other members, are rarely chance.
 MOST_MISSES = 2
 
-#: Members that are asked to try a silent one.
+#: Number of members that probe an unresponsive one.
 PROBERS = 2
 
-#: Suspicion after which a member is held dead, in seconds. Harm: a paused instance
-#: thrown out for a moment's pause; reason: it has this long to refute the rumour.
+#: Seconds of suspicion after which a member is declared dead. A paused instance has
+#: this long to refute the rumour, so that a short pause does not remove it.
 DEAD_AFTER_S = 3.0
 
-#: Seconds for which a dead member is remembered. Load: 690 replaced a day and a data
-#: centre of 17 lost at once; harm: a table that grows for ever, or a peer's old news
-#: that brings a dead member back; reason: news is everywhere within seconds, and in
-#: five minutes no more than some twenty have died.
+#: Seconds for which dead members are remembered. If they were never forgotten the table
+#: would grow without bound; if forgotten too soon, a peer's outdated rumour would bring
+#: them back. Rumours reach all members within seconds. With 690 replacements a day and
+#: the loss of a data centre of 17, about twenty members die within five minutes.
 FORGET_S = 300.0
 
-#: Seconds without a place on the platform's list after which suspicion is enough to
-#: hold a member dead. Reason: the list lags, by less than this.
+#: Seconds of absence from the platform's list after which a suspected member is
+#: declared dead at once. The list lags by less than this.
 UNLISTED_S = 60.0
 
 
 def judge_miss(misses: int, *, is_refused: bool) -> Miss:
-    """Return what to do after `misses` heartbeats in a row without an answer.
+    """Return what to do after `misses` consecutive heartbeats without an answer.
 
-    A refused connection says that nobody listens there, which silence does not:
-    there is nothing to wait for.
+    A refused connection shows that no process is listening, which a timeout does not:
+    a repetition would be useless.
     """
     if is_refused or misses >= MOST_MISSES:
         return Miss.ASK_OTHERS
@@ -48,10 +48,10 @@
 def choose_probers(
     table: MemberTable, name: str, generator: random.Random
 ) -> list[Member]:
-    """Return the members that are asked to try the silent member `name`.
+    """Return the members that probe the unresponsive member `name`.
 
-    Guards against a cut in one direction or between two places: the silent one is
-    reached by others, and must not be declared dead for everyone.
+    Guards against a partition in one direction or between two locations only: a member
+    that others still reach must not be declared dead.
     """
     others = [
         member
@@ -63,9 +63,9 @@
 
 
 def worsen_member(member: Member) -> Member:
-    """Return what is said of a member that nobody reached.
+    """Return the entry of a member that no prober reached.
 
-    One that said itself that it is leaving has gone and gets no suspicion first.
+    A leaving member is declared dead at once, any other one is suspected first.
     """
     if member.state is MemberState.LEAVING:
         return replace(member, state=MemberState.DEAD)
@@ -73,9 +73,9 @@
 
 
 def find_dead(table: MemberTable, *, now: float) -> list[Member]:
-    """Return suspects whose time is over, as dead.
+    """Return dead entries for the suspects whose time to refute has expired.
 
-    A suspect that the platform has not listed for long is dead at once.
+    A suspect that has been absent from the platform's list for long is dead at once.
     """
     return [
         replace(table.members[name], state=MemberState.DEAD)
@@ -86,21 +86,21 @@
 
 
 def forget_dead(table: MemberTable, *, now: float) -> list[str]:
-    """Drop members that are dead for long and return their names."""
+    """Remove members that died more than `FORGET_S` ago and return their names."""
     names = [name for name, since in table.dead_at.items() if now - since > FORGET_S]
     for name in names:
         del table.dead_at[name]
         table.untold.pop(name, None)
         table.unlisted_at.pop(name, None)
-        place(table, name, None)
+        set_member(table, name, None)
     return names
 
 
 def forgive_silence(table: MemberTable, *, now: float) -> None:
-    """Count every suspicion from now on.
+    """Restart the timer of every suspicion.
 
-    Guards against an instance that was paused: all suspicions look old to it, and
-    the words that refute them stand unread in its sockets.
+    Guards against an instance that was paused: all suspicions look expired to it,
+    although their refutations are still unread in its sockets.
     """
     for name in table.suspected_at:
         table.suspected_at[name] = now
--- a/packages/core/fulmarward_core/membership/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/membership/tests/test_decisions.py
@@ -50,7 +50,7 @@
 
 class MergeMemberTest(unittest.TestCase):
     @given(_RUMOURS, st.randoms(use_true_random=False))
-    def test_order_of_rumours_does_not_matter(self, rumours, generator):
+    def test_tables_converge_whatever_the_order_of_rumours(self, rumours, generator):
         tables = []
         for _ in range(2):
             table = MemberTable(own_name="z")
@@ -61,7 +61,7 @@
         self.assertEqual(tables[0], tables[1])
 
     @given(_RUMOURS)
-    def test_own_word_beats_every_rumour_of_the_same_boot(self, rumours):
+    def test_refutation_beats_every_rumour_of_the_same_boot(self, rumours):
         own = _make_member(name="a", boot=3)
         table = MemberTable(own_name="a", members={"a": own})
         for rumour in rumours:
@@ -74,11 +74,11 @@
             self.assertIs(table.members["a"].state, MemberState.ALIVE)
 
 
-class SilenceTest(unittest.TestCase):
-    def test_silence_makes_suspect_then_dead(self):
-        # An instance is frozen. Its neighbour asks others after two heartbeats without
-        # an answer, suspects it when they do not reach it either, and holds it dead
-        # some seconds later, unless it speaks before.
+class FailureDetectionTest(unittest.TestCase):
+    def test_unresponsive_member_is_suspected_then_dead(self):
+        # An instance hangs. Its neighbour asks other members after two missed
+        # heartbeats, suspects the instance if they do not reach it either, and declares
+        # it dead some seconds later unless the instance refutes that.
         table = MemberTable(own_name="z")
         merge_member(table, _make_member(), now=0.0)
         self.assertIs(judge_miss(1, is_refused=False), Miss.TRY_AGAIN)
@@ -93,9 +93,9 @@
         merge_member(table, _make_member(version=2), now=6.3)
         self.assertEqual(find_dead(table, now=100.0), [])
 
-    def test_table_of_special_cases(self):
-        # Refused connections, leaving members and unlisted suspects need no patience;
-        # a pause of one's own is no reason to hold anybody dead.
+    def test_special_cases(self):
+        # Refused connections, leaving members and unlisted suspects are decided without
+        # a delay. A pause of this instance itself does not make other members dead.
         self.assertIs(judge_miss(1, is_refused=True), Miss.ASK_OTHERS)
         leaving = _make_member(state=MemberState.LEAVING)
         self.assertIs(worsen_member(leaving).state, MemberState.DEAD)
@@ -109,7 +109,7 @@
         forgive_silence(table, now=200.0)
         self.assertEqual(find_dead(table, now=200.5), [])
 
-    def test_dead_are_forgotten_and_strangers_tried(self):
+    def test_dead_members_are_forgotten_and_their_addresses_tried(self):
         table = MemberTable(own_name="z")
         merge_member(table, _make_member(name="z"), now=0.0)
         merge_member(table, _make_member(state=MemberState.DEAD), now=0.0)
@@ -123,10 +123,11 @@
 
 
 class RefuteRumourTest(unittest.TestCase):
-    def test_restart_under_a_wall_clock_that_went_back(self):
-        # An instance is replaced on a machine whose clock is behind. Its peers know a
-        # higher boot of the name and hold its word for old, so nobody would send it
-        # callers. It takes a boot after its predecessor's, never that one itself.
+    def test_restart_after_the_wall_clock_was_set_back(self):
+        # An instance is replaced on a machine whose clock is behind. Peers know a
+        # higher boot number of its name and ignore its entry as outdated, so that no
+        # callers are sent to it. It takes the boot number after its predecessor's,
+        # never the same one.
         own = _make_member(boot=5)
         newer = refute_rumour(own, _make_member(boot=9, version=4))
         self.assertEqual((newer.boot, newer.version), (10, 1))
@@ -138,36 +139,36 @@
 
 class DigestTest(unittest.TestCase):
     @given(_RUMOURS, _RUMOURS)
-    def test_levelling_makes_tables_equal(self, first, second):
-        # Two parts of a fleet heard different things while they were parted. Once
-        # they exchange the buckets that differ, nobody living is unknown to either.
+    def test_synchronization_makes_tables_equal(self, first, second):
+        # Two parts of a fleet received different rumours during a partition. Once they
+        # exchange the differing buckets, each knows every live member.
         tables = [MemberTable(own_name="z"), MemberTable(own_name="z")]
         for table, rumours in zip(tables, (first, second), strict=True):
             for rumour in rumours:
                 merge_member(table, rumour, now=0.0)
         one, two = tables
-        sent = select_differing(two, one.digests)
-        back = select_differing(one, two.digests)
-        for table, members in ((one, sent), (two, back)):
+        from_two = select_differing(two, one.digests)
+        from_one = select_differing(one, two.digests)
+        for table, members in ((one, from_two), (two, from_one)):
             for member in members:
                 merge_member(table, member, now=0.0)
         self.assertEqual(combine_digests(one), combine_digests(two))
         self.assertEqual(one.digests, two.digests)
 
     @given(_RUMOURS)
-    def test_each_change_is_told_a_bounded_number_of_times(self, rumours):
+    def test_each_change_is_sent_a_bounded_number_of_times(self, rumours):
         table = MemberTable(own_name="z")
         for rumour in rumours:
             merge_member(table, rumour, now=0.0)
-        told = []
-        while rumours_now := take_rumours(table):
-            told += [member.name for member in rumours_now]
-        self.assertEqual(set(told), set(table.members))
-        self.assertLessEqual(len(told), 6 * len(table.members))
+        sent_names = []
+        while batch := take_rumours(table):
+            sent_names += [member.name for member in batch]
+        self.assertEqual(set(sent_names), set(table.members))
+        self.assertLessEqual(len(sent_names), 6 * len(table.members))
 
 
 class SelectNeighboursTest(unittest.TestCase):
-    def test_everyone_is_reached_in_few_hops(self):
+    def test_every_member_is_reached_in_few_hops(self):
         names = [f"i{number:03}" for number in range(330)]
         members = {name: _make_member(name=name) for name in names}
         graph = {
