--- a/packages/core/fulmarward_core/health/__init__.py
+++ b/packages/core/fulmarward_core/health/__init__.py
@@ -1,4 +1,4 @@
-"""The health of targets: who leaves, what they hold, and how loaded pools are."""
+"""The health of targets: which are leaving, what they cache, and the load of pools."""
 
 from fulmarward_core.health._cache import take_cache_events
 from fulmarward_core.health._summaries import (
--- a/packages/core/fulmarward_core/health/_summaries.py
+++ b/packages/core/fulmarward_core/health/_summaries.py
@@ -1,4 +1,4 @@
-"""Summaries of pools: adding up, choosing who tells, and taking in."""
+"""Pool summaries: aggregation, choice of the publishing instance, and exchange."""
 
 from collections.abc import Mapping, Sequence
 
@@ -8,35 +8,42 @@
 from fulmarward_core.health._types import PoolKey, PoolSummary, SummaryRecord
 from fulmarward_core.routing import TargetView
 
-#: Tenths of a second that a summary's version may lie ahead of the own clock. Harm: a
-#: teller whose clock is far ahead silences all later tellers; reason: clocks kept by
-#: the usual means differ by far less.
-MOST_AHEAD = 600
+#: Tenths of a second by which a summary's version may be ahead of this instance's
+#: clock. Without a bound, a publisher whose clock is far ahead would suppress the
+#: summaries of all later ones. Synchronized clocks differ by far less.
+MAX_VERSION_AHEAD = 600
 
-#: Summaries in one message. Load: 4 pools in 19 data centres; harm: more bytes than
-#: the share of summaries in 4 KB/s; reason: 16 of some 60 bytes each three seconds.
-MOST_SUMMARIES = 16
+#: Maximum number of summaries in one message. There are 4 pools in 19 data centres;
+#: 16 summaries of about 60 bytes every three seconds fit their share of the 4 KB/s for
+#: control messages.
+MAX_SUMMARIES_PER_MESSAGE = 16
 
 
 def choose_teller(instances: Sequence[str], key: PoolKey) -> str:
-    """Return who of a data centre's instances adds up a pool; stable under change."""
+    """Return which instance of a data centre publishes a pool's summary.
+
+    Rendezvous hashing keeps the choice stable when other instances come and go.
+    """
     return max(
         instances,
         key=lambda name: (xxhash.xxh64_intdigest(f"{name}\0{key}".encode()), name),
     )
 
 
-def choose_candidates(instances: Sequence[str], pool: str, most: int) -> list[str]:
-    """Return the instances that would do a pool's duty; stable under change."""
+def choose_candidates(instances: Sequence[str], pool: str, max_count: int) -> list[str]:
+    """Return the best `max_count` candidates for the placement of a pool.
+
+    Rendezvous hashing keeps the choice stable when other instances come and go.
+    """
     return sorted(
         instances,
         key=lambda name: xxhash.xxh64_intdigest(f"{name}\0{pool}".encode()),
         reverse=True,
-    )[:most]
+    )[:max_count]
 
 
 def list_pools(targets: Mapping[str, Target], data_centre: str) -> list[str]:
-    """Return the names of the models that engines of a data centre serve."""
+    """Return the names of the models that the engines of a data centre serve."""
     found = {
         target.serves
         for target in targets.values()
@@ -55,8 +62,8 @@
 ) -> PoolSummary:
     """Return the summary of a pool in a data centre.
 
-    Slots are exact, from the declaration; the load is that of the followed targets,
-    scaled to all open ones, since no instance follows all.
+    Slots are exact, from the declaration. The load is extrapolated from the followed
+    targets to all open ones, since no instance follows every target.
     """
     serves, data_centre = key
     open_targets = {
@@ -72,8 +79,8 @@
         for name, target in open_targets.items()
         if name in views and views[name].report.received_at > float("-inf")
     ]
-    seen_slots = sum(its_slots for _, its_slots in reports)
-    scale = slots / seen_slots if seen_slots else 0.0
+    reported_slots = sum(target_slots for _, target_slots in reports)
+    scale = slots / reported_slots if reported_slots else 0.0
     return PoolSummary(
         slots=slots,
         running=round(scale * sum(report.running for report, _ in reports)),
@@ -84,8 +91,12 @@
 
 
 def is_newer(known: Mapping[PoolKey, int], record: SummaryRecord, *, wall: int) -> bool:
-    """Return whether a peer's summary is news; `wall` is the own clock in tenths."""
-    if record.version > wall + MOST_AHEAD:
+    """Return whether a peer's summary is newer than the known one.
+
+    `wall` is this instance's wall clock in tenths of a second. Versions too far ahead
+    of it are rejected.
+    """
+    if record.version > wall + MAX_VERSION_AHEAD:
         return False
     return record.version > known.get((record.serves, record.data_centre), 0)
 
@@ -93,7 +104,7 @@
 def select_unsent(
     versions: Mapping[PoolKey, int], sent: Mapping[PoolKey, int]
 ) -> list[PoolKey]:
-    """Return the summaries that a peer lacks, the newest first, as many as fit."""
+    """Return the summaries that a peer lacks, newest first, limited to one message."""
     unsent = [key for key, version in versions.items() if sent.get(key, 0) < version]
     unsent.sort(key=lambda key: versions[key], reverse=True)
-    return unsent[:MOST_SUMMARIES]
+    return unsent[:MAX_SUMMARIES_PER_MESSAGE]
--- a/packages/core/fulmarward_core/health/_types.py
+++ b/packages/core/fulmarward_core/health/_types.py
@@ -1,80 +1,77 @@
-"""Types of the health slice."""
+"""Types of the health package."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
 
 
 class LeavingSource(IntEnum):
-    """Who can say that a target is leaving; any one of them is enough."""
+    """Source of the information that a target is leaving. Any one of them is enough."""
 
     #: The platform's list, which lags.
     PLATFORM_LIST = 0
-    #: The target itself, in a load report or in the refusal of a request.
+    #: The target itself, in a load report or by rejecting a request.
     TARGET = 1
-    #: An operator's drain, a row in the platform's table.
+    #: An operator's drain, stored as a row in the platform's table.
     OPERATOR = 2
-    #: The holder of its pool's lease, which is about to have it load weights.
+    #: The holder of the pool's lease, which is about to have the target load weights.
     PLACEMENT = 3
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeavingRecord:
-    """What is believed of one target by one source; peers tell each other these."""
+    """Whether a target is leaving according to one source, as exchanged by peers."""
 
-    #: The target's name.
+    #: Name of the target.
     target: str
-    #: Whose word it is.
     source: LeavingSource
-    #: Whether the target is leaving.
     is_leaving: bool
-    #: Rises with each change; for `OPERATOR` it is the version of the table's row.
+    #: Incremented with each change; for `OPERATOR` the version of the table's row.
     version: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class Observation:
-    """What this instance itself saw of one target from one source."""
+    """What this instance itself observed of one target from one source."""
 
-    #: Whether the target was leaving.
     is_leaving: bool
-    #: Since when it has been seen so without a break, seconds on the steady clock.
+    #: Since when all observations agree, in seconds on the steady clock.
     since: float
 
 
-#: A target and who speaks of it.
+#: Name of a target, and the source of the information about it.
 LeavingKey = tuple[str, LeavingSource]
 
 
 @dataclass(kw_only=True)
 class LeavingTable:
-    """All that one instance knows of targets that leave."""
+    """All that one instance knows about leaving targets."""
 
-    #: The newest record of each target and source, from here or from peers.
+    #: The newest record of each target and source, from this instance or from peers.
     records: dict[LeavingKey, LeavingRecord] = field(default_factory=dict)
-    #: What this instance itself saw last.
+    #: The latest observations of this instance itself.
     observations: dict[LeavingKey, Observation] = field(default_factory=dict)
-    #: When each record came, seconds on the steady clock.
+    #: When each record was received, in seconds on the steady clock.
     heard_at: dict[LeavingKey, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True)
 class PoolSummary:
-    """The targets of one pool in one data centre, added up."""
+    """Aggregated capacity and load of one pool in one data centre."""
 
-    #: Requests that the open targets run at once.
+    #: Requests that the open targets can run concurrently.
     slots: int
-    #: Requests running and waiting on them, an estimate from the followed ones.
+    #: Requests running and waiting on them, estimated from the followed targets.
     running: int
     waiting: int
-    #: Targets that take new work.
+    #: Number of targets that accept new work.
     open_targets: int
-    #: When the numbers were taken, seconds on the reading instance's steady clock.
+    #: When the numbers were computed, in seconds on this instance's steady clock.
     told_at: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class SummaryRecord:
-    """A summary as peers tell it."""
+    """A pool summary as exchanged by peers."""
 
     #: The pool (name of a model) and the data centre.
     serves: str
@@ -84,9 +81,9 @@
     running: int
     waiting: int
     open_targets: int
-    #: Tenths of a second since 1970 on the clock of the instance that added it up.
+    #: Tenths of a second since 1970 on the wall clock of the publishing instance.
     version: int
-    #: Tenths of a second since it was added up.
+    #: Tenths of a second since the summary was computed.
     age: int
 
 
@@ -96,9 +93,8 @@
 
 @dataclass(kw_only=True)
 class Pacer:
-    """Shares out a rate of bytes among the tasks of one instance."""
+    """Limits the byte rate that the tasks of one instance share."""
 
-    #: Bytes a second.
     bytes_per_s: float
-    #: From when the next read may begin, seconds on the steady clock.
+    #: When the next read may begin, in seconds on the steady clock.
     free_from: float = float("-inf")
--- a/packages/core/fulmarward_core/health/decisions.py
+++ b/packages/core/fulmarward_core/health/decisions.py
@@ -1,4 +1,4 @@
-"""Decisions about the health of targets: who leaves, whom to follow, how often."""
+"""Which targets are leaving, which ones an instance follows, and how often it asks."""
 
 import random
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,94 +15,96 @@
     Pacer,
 )
 
-#: How long an instance has to see a target open itself, without a break, before it
-#: contradicts a peer's record that the target leaves. Load: reports and lists that lag
-#: by some seconds; harm: work for a target that is going; reason: longer than any lag,
-#: short enough that a target which came back is used again soon.
+#: Seconds for which an instance must continuously observe a target as open before it
+#: contradicts a peer's record that the target is leaving. Reports and lists lag by some
+#: seconds: a shorter time would send work to a target that is leaving, a longer one
+#: would delay the reuse of a target that came back.
 CONTRADICT_AFTER_S = 30.0
 
-#: How long a target's refusal outlasts reports that it is open. Harm: a report as old
-#: as its lag reopens a target that has just refused; reason: as CONTRADICT_AFTER_S.
-REFUSAL_HOLDS_S = 10.0
+#: Seconds for which a target's rejection overrides reports that it is open. Guards
+#: against a delayed report that reopens a target which has just rejected a request. As
+#: with CONTRADICT_AFTER_S, it exceeds any lag without delaying the reuse for long.
+REFUSAL_VALIDITY_S = 10.0
 
-#: Instances that follow each target of their data centre. Load: a target whose one
-#: follower dies; harm: it idles, and nobody hears that it leaves; reason: four in
-#: rendezvous order stay the same when others come and go.
+#: Number of instances that follow each target of their data centre. With a single
+#: follower, its failure would leave the target idle, and no instance would notice that
+#: the target leaves. The first four in rendezvous order stay the same when other
+#: instances come and go.
 FOLLOWERS = 4
 
-#: Targets of each pool and range of layers that an instance follows at least.
-#: Harm: a choice of one is no choice; reason: draws among four avoid a loaded one, and
-#: the targets that chose the instance come besides.
+#: Minimum number of targets of each pool and range of layers that an instance follows
+#: in its own data centre. A random choice among four avoids a loaded one. The targets
+#: that rendezvous hashing assigns to the instance come in addition.
 NEAR_PER_RANGE = 4
 
-#: Targets of each pool and range followed in other data centres. Load: the loss of a
-#: data centre; harm: nowhere to shift to before new reports came in; reason: a few are
-#: known beforehand.
+#: The same for other data centres. If a data centre fails, a few targets elsewhere are
+#: known already, so that work can move there before new reports arrive.
 FAR_PER_RANGE = 2
 
-#: Most targets that one instance follows. Load: 4,100 targets; harm: reports older
-#: than the load they tell of, at the bytes a second an instance may use; reason: 128
-#: reports of REPORT_BYTES at REPORT_BYTES_PER_S come round in 45 s.
-MOST_FOLLOWED = 128
+#: Maximum number of targets that one instance follows, of 4,100 in the design. With
+#: more, reports would be outdated at the byte rate that an instance may use: 128
+#: reports of REPORT_BYTES at REPORT_BYTES_PER_S take 45 s.
+MAX_FOLLOWED = 128
 
-#: Targets up to which an instance follows all of them: today's deployments.
+#: Fleet size up to which an instance follows all targets; covers today's deployments.
 FOLLOW_ALL_UP_TO = 64
 
-#: Bytes a second for load reports, and for cache events. Load: 4 KB/s for all control
-#: of an instance; harm: the links of small instances; reason: the rest is left to
-#: heartbeats, configuration and summaries.
+#: Bytes a second for load reports, and for cache events. All control traffic of an
+#: instance may take 4 KB/s, because of the links of small instances; the rest is left
+#: to heartbeats, configuration and summaries.
 REPORT_BYTES_PER_S = 1_200.0
 EVENT_BYTES_PER_S = 400.0
 
-#: Bytes of one load report, and of an empty list of cache events, with the question
-#: and all headers, as `scripts/bench health` measures.
+#: Bytes of one load report, and of an empty list of cache events, including the request
+#: and all headers, as measured by `scripts/bench health`.
 REPORT_BYTES = 420
 EVENT_BYTES = 260
 
-#: Seconds between two reports of one target when bytes allow.
-REPORT_EVERY_S = 1.0
+#: Seconds between two reports of one target if the byte rate allows.
+REPORT_INTERVAL_S = 1.0
 
-#: The same for a target on which this instance has no request. Harm: bytes for targets
-#: out of use make the reports of those in use old; reason: others report on them too.
-IDLE_REPORT_EVERY_S = 3.0
+#: The same for a target on which this instance has no request. Such reports delay those
+#: of targets in use, and other instances follow the target too.
+IDLE_REPORT_INTERVAL_S = 3.0
 
-#: Part of an interval by which reads are moved at random, so that instances which
-#: started together do not ask a target together.
+#: Random variation of an interval, as a share of it, so that instances that started at
+#: the same time do not query a target at the same time.
 JITTER = 0.2
 
 
 def is_leaving(table: LeavingTable, target: str) -> bool:
-    """Return whether any source says that the target is leaving."""
+    """Return whether the target is leaving according to any source."""
     return bool(list_sources(table, target))
 
 
 def list_sources(table: LeavingTable, target: str) -> tuple[LeavingSource, ...]:
-    """Return who says that a target is leaving, from here or by a peer's news.
+    """Return the sources according to which a target is leaving.
 
-    A source's word stands until the same source takes it back: a load report that
-    says nothing of leaving does not reopen what an operator drained.
+    Both own observations and records of peers count. Information from a source stays
+    valid until the same source revokes it: a load report without a leaving flag does
+    not reopen a target that an operator drained.
     """
     return tuple(
         source
         for source in LeavingSource
-        if _says_so(table.records.get((target, source)))
-        or _says_so(table.observations.get((target, source)))
+        if _is_marked_leaving(table.records.get((target, source)))
+        or _is_marked_leaving(table.observations.get((target, source)))
     )
 
 
-def _says_so(word: LeavingRecord | Observation | None) -> bool:
-    return word is not None and word.is_leaving
+def _is_marked_leaving(item: LeavingRecord | Observation | None) -> bool:
+    return item is not None and item.is_leaving
 
 
 def observe(
     table: LeavingTable, key: LeavingKey, *, leaving: bool, now: float
 ) -> LeavingRecord | None:
-    """Take in what this instance saw itself; return the record peers shall hear.
+    """Store an observation of this instance; return the record to send to peers.
 
-    Guards against a storm between instances whose lagging sources differ: only a
-    change in what one instance sees, or a contradiction that lasts, is news. A record
-    that everyone who made it has forgotten is so taken back by whoever sees the target
-    open for CONTRADICT_AFTER_S.
+    Guards against a message storm between instances whose lagging sources disagree:
+    only a change of an instance's own observation, or a lasting contradiction, creates
+    a record. A record whose creators are all gone is thus revoked by any instance that
+    observes the target as open for CONTRADICT_AFTER_S.
     """
     seen = table.observations.get(key)
     is_first = seen is None
@@ -110,7 +112,7 @@
     if is_first or has_changed:
         table.observations[key] = Observation(is_leaving=leaving, since=now)
     record = table.records.get(key)
-    if _says_so(record) == leaving:
+    if _is_marked_leaving(record) == leaving:
         return None
     is_news = has_changed or (leaving and is_first) or _has_lasted(table, key, now=now)
     if not is_news:
@@ -119,7 +121,10 @@
 
 
 def _has_lasted(table: LeavingTable, key: LeavingKey, *, now: float) -> bool:
-    """Return whether an open target has contradicted its record for long enough."""
+    """Return whether the target has been observed as open for CONTRADICT_AFTER_S.
+
+    The time starts with the observation or the record, whichever is later.
+    """
     seen = table.observations[key]
     since = max(seen.since, table.heard_at.get(key, seen.since))
     return not seen.is_leaving and now - since >= CONTRADICT_AFTER_S
@@ -128,11 +133,11 @@
 def observe_report(
     table: LeavingTable, target: str, *, leaving: bool, now: float
 ) -> LeavingRecord | None:
-    """Take in a load report's word; it cannot take back a fresh refusal."""
+    """Store the leaving flag of a load report; it cannot revoke a recent rejection."""
     key = (target, LeavingSource.TARGET)
     seen = table.observations.get(key)
-    is_fresh = seen is not None and now - seen.since < REFUSAL_HOLDS_S
-    if not leaving and is_fresh and _says_so(seen):
+    is_fresh = seen is not None and now - seen.since < REFUSAL_VALIDITY_S
+    if not leaving and is_fresh and _is_marked_leaving(seen):
         return None
     return observe(table, key, leaving=leaving, now=now)
 
@@ -140,9 +145,9 @@
 def announce(
     table: LeavingTable, key: LeavingKey, *, leaving: bool, now: float
 ) -> LeavingRecord | None:
-    """Make and return the record that says so; `None` when it stands already."""
+    """Create and return a record of the state; `None` if the table already says so."""
     record = table.records.get(key)
-    if _says_so(record) == leaving:
+    if _is_marked_leaving(record) == leaving:
         return None
     target, source = key
     version = record.version + 1 if record else 1
@@ -154,10 +159,10 @@
 
 
 def merge_record(table: LeavingTable, record: LeavingRecord, *, now: float) -> bool:
-    """Take in a peer's record if it is newer; return whether it was.
+    """Merge a peer's record if it is newer than the known one; return whether it was.
 
-    Of two records of one version the one that says leaving wins, so that records
-    that arrive in any order end in the same table everywhere.
+    Of two records of one version the one that says leaving wins, so that tables
+    converge whatever the order in which records arrive.
     """
     key = (record.target, record.source)
     known = table.records.get(key)
@@ -173,7 +178,7 @@
 
 
 def compute_leaving_digest(table: LeavingTable) -> int:
-    """Return a number that is equal for equal records."""
+    """Return the digest of all records. Equal tables have equal digests."""
     lines = sorted(
         f"{record.target}:{record.source}:{record.is_leaving}:{record.version}"
         for record in table.records.values()
@@ -182,7 +187,7 @@
 
 
 def forget_undeclared(table: LeavingTable, declared: Iterable[str]) -> None:
-    """Drop what is known of targets that are declared no more: memory is bounded."""
+    """Discard targets that are no longer declared, which bounds the table's memory."""
     kept = set(declared)
     table.records = {
         key: record for key, record in table.records.items() if key[0] in kept
@@ -201,12 +206,12 @@
     instances: Mapping[str, str],
     data_centres: Mapping[str, DataCentre],
 ) -> frozenset[str]:
-    """Return the engines that this instance follows, a stable and bounded part.
+    """Return the engines that this instance follows, a stable and bounded subset.
 
-    `instances` gives the data centre of each live instance. Each target chooses
-    FOLLOWERS of its own data centre's instances by rendezvous hashing, so that none is
-    left out and few change when an instance comes or goes; each instance adds some of
-    each pool and range of layers, near ones first.
+    `instances` maps each live instance to its data centre. Rendezvous hashing assigns
+    each target FOLLOWERS instances of its data centre, so that every target is followed
+    and few assignments change when an instance comes or goes. Each instance also
+    follows some targets of each pool and range of layers, near ones first.
     """
     engines = {
         name: target
@@ -222,10 +227,10 @@
             -_hash_pair(own_name, name),
         ),
     )
-    needed = _take_ranges(ranked, engines, own_data_centre)
-    owed = _list_owed(ranked, engines, own_name, instances)
-    wanted = list(dict.fromkeys([*needed, *owed]))
-    return frozenset(wanted[:MOST_FOLLOWED])
+    chosen = _choose_per_range(ranked, engines, own_data_centre)
+    assigned = _list_assigned(ranked, engines, own_name, instances)
+    followed = list(dict.fromkeys([*chosen, *assigned]))
+    return frozenset(followed[:MAX_FOLLOWED])
 
 
 def _hash_pair(instance: str, target: str) -> int:
@@ -243,59 +248,67 @@
     return 1 if len(regions) == 2 and regions[0] == regions[1] else 2
 
 
-def _take_ranges(
+def _choose_per_range(
     ranked: Sequence[str], engines: Mapping[str, Target], own_data_centre: str
 ) -> list[str]:
-    """Return the first targets of each pool and range, near ones and then far ones."""
-    taken: dict[tuple[object, ...], int] = {}
-    needed = []
+    """Return the first few targets of each pool and range of layers.
+
+    The limit per range is NEAR_PER_RANGE in the own data centre and FAR_PER_RANGE in
+    the others.
+    """
+    counts: dict[tuple[object, ...], int] = {}
+    chosen = []
     for name in ranked:
         target = engines[name]
         is_near = target.data_centre == own_data_centre
         key = (target.serves, target.layers, is_near)
-        most = NEAR_PER_RANGE if is_near else FAR_PER_RANGE
-        if taken.get(key, 0) < most:
-            taken[key] = taken.get(key, 0) + 1
-            needed.append(name)
-    return needed
+        max_count = NEAR_PER_RANGE if is_near else FAR_PER_RANGE
+        if counts.get(key, 0) < max_count:
+            counts[key] = counts.get(key, 0) + 1
+            chosen.append(name)
+    return chosen
 
 
-def _list_owed(
+def _list_assigned(
     ranked: Sequence[str],
     engines: Mapping[str, Target],
     own_name: str,
     instances: Mapping[str, str],
 ) -> list[str]:
-    """Return the targets that chose this instance, those of one place first."""
-    by_place: dict[str, list[str]] = {}
+    """Return the targets that rendezvous hashing assigns to this instance.
+
+    Candidates for a target are the instances of its data centre, or all of them if it
+    has none.
+    """
+    by_data_centre: dict[str, list[str]] = {}
     for instance, data_centre in instances.items():
-        by_place.setdefault(data_centre, []).append(instance)
-    everyone = list(instances)
-    owed = []
+        by_data_centre.setdefault(data_centre, []).append(instance)
+    all_instances = list(instances)
+    assigned = []
     for name in ranked:
-        candidates = by_place.get(engines[name].data_centre, everyone)
+        candidates = by_data_centre.get(engines[name].data_centre, all_instances)
         if own_name not in candidates:
             continue
         own = _hash_pair(own_name, name)
         better = sum(_hash_pair(other, name) > own for other in candidates)
         if better < FOLLOWERS:
-            owed.append(name)
-    return owed
+            assigned.append(name)
+    return assigned
 
 
 def reserve(pacer: Pacer, size: int, *, now: float) -> float:
-    """Take `size` bytes of the rate; return the seconds to wait before they flow."""
+    """Reserve `size` bytes; return the seconds to wait before the read may begin."""
     begin = max(now, pacer.free_from)
     pacer.free_from = begin + size / pacer.bytes_per_s
     return begin - now
 
 
 def charge(pacer: Pacer, size: int) -> None:
-    """Take bytes that a read brought beyond what was reserved; negative gives back."""
+    """Charge bytes beyond what was reserved; a negative size is a refund."""
     pacer.free_from += size / pacer.bytes_per_s
 
 
 def draw_interval(generator: random.Random, *, is_used: bool) -> float:
-    """Return the seconds until the next report of one target, as bytes allow."""
-    seconds = REPORT_EVERY_S if is_used else IDLE_REPORT_EVERY_S
+    """Return the seconds until a target's next report, if the byte rate allows."""
+    seconds = REPORT_INTERVAL_S if is_used else IDLE_REPORT_INTERVAL_S
     return seconds * generator.uniform(1 - JITTER, 1 + JITTER)
--- a/packages/core/fulmarward_core/health/tests/test_cache.py
+++ b/packages/core/fulmarward_core/health/tests/test_cache.py
@@ -2,7 +2,7 @@
 
 from fulmarward_core.declaration import Target, TargetKind
 from fulmarward_core.health import take_cache_events
-from fulmarward_core.health._cache import HINT_S, MOST_PREFIXES
+from fulmarward_core.health._cache import MAX_PREFIXES, PREFIX_TTL_AFTER_GAP_S
 from fulmarward_core.routing import TargetView
 
 
@@ -22,26 +22,26 @@
 
 
 class CacheEventsTest(unittest.TestCase):
-    def test_stored_and_evicted_prefixes_are_followed(self):
+    def test_stored_and_evicted_prefixes_are_tracked(self):
         view = _make_view()
         take_cache_events(view, [(1, True, "a"), (2, True, "b")], now=0.0)
         take_cache_events(view, [(2, True, "b"), (3, False, "a")], now=1.0)
         self.assertEqual(list(view.cached_prefixes), ["b"])
 
-    def test_a_gap_makes_the_view_a_hint(self):
-        # Requests are sent after a prefix that the engine evicted long ago; each pays
-        # the whole prompt. The eviction's event was lost, and only the jump of the
-        # sequence shows it.
+    def test_prefixes_expire_soon_after_a_gap_in_the_events(self):
+        # Guards against requests that are routed to a prefix which the engine evicted
+        # long ago, so that each pays for the whole prompt. The eviction event was lost,
+        # which only the gap in the sequence shows.
         view = _make_view()
         take_cache_events(view, [(1, True, "a")], now=0.0)
         take_cache_events(view, [(1, True, "a"), (3, True, "c")], now=1.0)
         self.assertIn("a", view.cached_prefixes)
-        take_cache_events(view, [(3, True, "c")], now=1.0 + HINT_S)
+        take_cache_events(view, [(3, True, "c")], now=1.0 + PREFIX_TTL_AFTER_GAP_S)
         self.assertEqual(list(view.cached_prefixes), ["c"])
 
-    def test_an_engine_that_starts_anew_is_believed_to_hold_nothing(self):
-        # An engine is restarted and counts its events from 1 again. Reading on from
-        # the old number gives nothing for ever, and the old prefixes stay.
+    def test_restart_of_an_engine_clears_its_prefixes(self):
+        # Guards against a restarted engine that numbers its events from 1 again. Reads
+        # from the old number would stay empty, and the old prefixes would remain.
         view = _make_view()
         take_cache_events(view, [(40, True, "a")], now=0.0)
         take_cache_events(view, [], now=1.0)
@@ -51,6 +51,6 @@
 
     def test_memory_is_bounded(self):
         view = _make_view()
-        events = [(n, True, f"p{n}") for n in range(1, 3 * MOST_PREFIXES)]
+        events = [(n, True, f"p{n}") for n in range(1, 3 * MAX_PREFIXES)]
         take_cache_events(view, events, now=0.0)
-        self.assertEqual(len(view.cached_prefixes), MOST_PREFIXES)
+        self.assertEqual(len(view.cached_prefixes), MAX_PREFIXES)
--- a/packages/core/fulmarward_core/health/tests/test_summaries.py
+++ b/packages/core/fulmarward_core/health/tests/test_summaries.py
@@ -7,7 +7,10 @@
     is_newer,
     select_unsent,
 )
-from fulmarward_core.health._summaries import MOST_AHEAD, MOST_SUMMARIES
+from fulmarward_core.health._summaries import (
+    MAX_SUMMARIES_PER_MESSAGE,
+    MAX_VERSION_AHEAD,
+)
 from fulmarward_core.health.tests.test_decisions import make_targets
 from fulmarward_core.routing import LoadReport, TargetView
 
@@ -35,17 +38,19 @@
         self.assertEqual((summary.open_targets, summary.slots), (8, 128))
         self.assertEqual((summary.running, summary.waiting), (32, 8))
 
-    def test_the_teller_changes_only_when_it_goes(self):
+    def test_publisher_changes_only_when_it_leaves(self):
         names = [f"i{number}" for number in range(9)]
-        teller = choose_teller(names, ("m", "dc"))
-        others = [name for name in names if name != teller]
-        self.assertEqual(choose_teller([*others[1:], teller], ("m", "dc")), teller)
+        publisher = choose_teller(names, ("m", "dc"))
+        others = [name for name in names if name != publisher]
+        self.assertEqual(
+            choose_teller([*others[1:], publisher], ("m", "dc")), publisher
+        )
 
-    def test_only_news_from_sane_clocks_is_taken(self):
-        # One instance's clock is a day ahead. Its summary would hide for a day that
-        # the pool is full, since every later one looks older.
+    def test_summary_with_a_version_far_ahead_is_rejected(self):
+        # Guards against an instance whose clock is a day ahead: its summary would hide
+        # for a day that the pool is full, since all later ones look older.
         numbers = {"slots": 1, "running": 0, "waiting": 0, "open_targets": 1, "age": 0}
-        cases = [(5, True), (4, False), (3, False), (105 + MOST_AHEAD, False)]
+        cases = [(5, True), (4, False), (3, False), (105 + MAX_VERSION_AHEAD, False)]
         for version, expected in cases:
             record = SummaryRecord(
                 serves="m", data_centre="dc", version=version, **numbers
@@ -54,8 +59,8 @@
                 known = {("m", "dc"): 4}
                 self.assertEqual(is_newer(known, record, wall=100), expected)
 
-    def test_a_message_is_bounded_and_the_newest_go_first(self):
+    def test_message_size_is_bounded_and_the_newest_go_first(self):
         versions = {(f"m{n}", "dc"): n for n in range(1, 100)}
         first = select_unsent(versions, {("m99", "dc"): 99})
-        self.assertEqual(len(first), MOST_SUMMARIES)
+        self.assertEqual(len(first), MAX_SUMMARIES_PER_MESSAGE)
         self.assertEqual(first[0], ("m98", "dc"))
