--- a/packages/core/fulmarward_core/leases/__init__.py
+++ b/packages/core/fulmarward_core/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases in the platform's table: one holder of a pool, with a fencing number."""
+"""Leases in the platform's table: one holder per pool, with a fencing token."""
 
 from fulmarward_core.leases._types import (
     ABSENT_LEASE,
--- a/packages/core/fulmarward_core/leases/_types.py
+++ b/packages/core/fulmarward_core/leases/_types.py
@@ -1,4 +1,4 @@
-"""Types of the leases slice."""
+"""Types of the leases package."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,16 +9,16 @@
 class Lease:
     """A lease's row in the platform's table."""
 
-    #: Name and boot number of the holder; an empty name says that it was given back.
+    #: Name and boot number of the holder. An empty name means that it was released.
     holder: str
     boot: int
-    #: Rises each time the lease changes hands or is taken anew.
+    #: Fencing number; incremented whenever the lease is acquired.
     fencing: int
-    #: Unlike for each write, so that a lost reply's write is known again.
+    #: Unique per write, so that a write whose reply was lost can be recognized.
     token: str
 
 
-#: What an absent row means.
+#: The lease that an absent row stands for.
 ABSENT_LEASE = Lease(holder="", boot=0, fencing=0, token="")
 
 
@@ -26,91 +26,90 @@
 class LeaseTerms:
     """How long a lease lasts.
 
-    Guards against two holders at once, by pauses or clocks that drift: a holder counts
-    from before it asked and stops early, a successor counts from after it saw the row
-    and waits longer. Their times do not meet while two clocks drift apart by less than
-    `drift`.
+    Guards against two concurrent holders because of pauses or clock drift: a holder
+    counts from before it sent the request and stops early; a successor counts from
+    after it read the row and waits longer. The two periods do not overlap as long as
+    the clocks drift apart by less than `drift`.
     """
 
-    #: Seconds from the asking.
+    #: Duration in seconds, from the request on.
     term_s: float
-    #: Most that one clock gains on another, as a part.
+    #: Maximum drift of one clock against another, as a fraction.
     drift: float = 0.02
-    #: Seconds by which a holder stops early besides.
+    #: Seconds by which a holder stops early in addition.
     margin_s: float = 0.2
 
     @property
     def held_s(self) -> float:
-        """Seconds from its asking for which a holder trusts its lease."""
+        """Seconds from its request for which a holder may rely on its lease."""
         return self.term_s * (1 - self.drift) - self.margin_s
 
     @property
     def waited_s(self) -> float:
-        """Seconds that a successor waits from when it saw the row."""
+        """Seconds that a successor waits after it first read the row."""
         return self.term_s * (1 + self.drift)
 
 
 class Phase(Enum):
-    """Where an instance stands with a lease."""
+    """State of an instance with respect to a lease."""
 
-    #: The row was not read yet, or a write's outcome is not known: read it.
+    #: The row has not been read yet, or the outcome of a write is unknown.
     UNSURE = "unsure"
-    #: Someone else holds it, or held it.
+    #: Another instance holds or held the lease.
     WATCHING = "watching"
-    #: This instance holds it; whether still, the time says.
+    #: This instance holds the lease, unless its term has ended (`may_order`).
     HOLDING = "holding"
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaseState:
-    """What one instance knows of one lease. A change is a changed copy."""
+    """What one instance knows about one lease. Immutable; changes create a copy."""
 
     #: Name and boot number of this instance.
     own_name: str
     own_boot: int
-    #: Where it stands.
     phase: Phase = Phase.UNSURE
-    #: The row as last seen, its version, and since when it has been so.
+    #: The row as last read, its version, and since when it has been unchanged.
     lease: Lease = ABSENT_LEASE
     version: int = 0
     seen_since: float = float("-inf")
-    #: Until when this instance holds the lease; seconds on its steady clock.
+    #: End of this instance's lease, in seconds on its steady clock.
     held_until: float = float("-inf")
-    #: The fencing number that it holds until then.
+    #: The fencing number of that lease.
     fencing: int = 0
-    #: Whether it held the lease when the row was last known.
+    #: Whether this instance held the lease when the row was last known.
     is_last_holder: bool = False
-    #: When each write of this instance was begun, by its token: those whose outcome
-    #: may still show in the row.
+    #: Start times of this instance's writes, by token: those whose outcome may still
+    #: appear in the row.
     asked_at: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaseRead:
-    """The row was read, or a refused write showed it."""
+    """The row was read, or a rejected write returned it."""
 
-    #: The row's lease and version.
+    #: The lease and version of the row.
     lease: Lease
     version: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaseWritten:
-    """A write took effect."""
+    """A write was committed."""
 
-    #: The lease written and the row's new version.
+    #: The lease that was written and the new version of the row.
     lease: Lease
     version: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReplyLost:
-    """A write may have taken effect, or may still."""
+    """The outcome of a write is unknown: it may have been, or may yet be, committed."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class StoreOut:
-    """The platform did not take the call."""
+    """The platform did not accept the request."""
 
 
 LeaseEvent = LeaseRead | LeaseWritten | ReplyLost | StoreOut
--- a/packages/core/fulmarward_core/leases/decisions.py
+++ b/packages/core/fulmarward_core/leases/decisions.py
@@ -1,4 +1,4 @@
-"""Who holds a lease, as one instance may believe it."""
+"""Acquisition, renewal and release of leases, from the view of one instance."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -16,16 +16,16 @@
     StoreOut,
 )
 
-#: Share of the term after which a holder renews: two more tries fit in.
-RENEW_AT = 1 / 3
+#: Share of the term after which a holder renews. Leaves time for two more attempts.
+RENEWAL_SHARE = 1 / 3
 
-#: Upper bound on the writes of one instance that are remembered; the leases of older
-#: ones have lapsed.
+#: Maximum number of remembered writes of one instance. The leases of older writes have
+#: expired.
 MAX_REMEMBERED_WRITES = 8
 
 
 class StepKind(Enum):
-    """What to do next about a lease."""
+    """Kind of the next action on a lease."""
 
     READ = "read"
     WRITE = "write"
@@ -34,51 +34,54 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Step:
-    """What to do next about a lease."""
+    """The next action on a lease."""
 
-    #: The kind.
     kind: StepKind
-    #: `WRITE`: the lease to write, if the row still has this version.
+    #: `WRITE`: the lease to write, on condition that the row still has this version.
     lease: Lease | None = None
     version: int = 0
-    #: `WAIT`: until when, seconds on the steady clock.
+    #: `WAIT`: end of the wait, in seconds on the steady clock.
     until: float = 0.0
 
 
 def may_order(state: LeaseState, *, now: float) -> bool:
-    """Return whether this instance may send an order now; ask right before each.
+    """Return whether this instance may send an order now. Call it before each order.
 
-    Guards against a holder that was paused: it wakes believing what it knew, and the
-    time tells it otherwise. What it sends in spite of this, paused between this
-    question and the sending, carries its old fencing number.
+    Guards against a holder that was paused until after its lease expired. If it is
+    paused between this check and the sending, the order carries an old fencing number.
     """
     return now < state.held_until
 
 
-#: Seconds after its lease lapsed in which a holder may still learn that nobody reaches
-#: the store: instances notice an outage one after the other. Later, the outage is not
-#: what ended its lease.
-OUTAGE_NOTICE_S = 2.0
+#: Seconds after the end of its lease within which a holder may still learn that no
+#: instance reaches the store, since instances detect an outage at different times. If
+#: it learns so later, the outage is not the reason that its lease expired.
+OUTAGE_DETECTION_S = 2.0
 
 
 def take_store_state(state: LeaseState, *, is_out: bool, now: float) -> LeaseState:
-    """Take in whether nobody reaches the store; call it at least each second.
+    """Update the state with whether no instance reaches the store.
 
-    A lease that lapses while the store answers others is another's to take.
+    To be called at least once a second. If the lease expires while the store answers
+    other instances, one of these may acquire it.
     """
-    if is_out or not state.is_last_holder or now < state.held_until + OUTAGE_NOTICE_S:
+    if (
+        is_out
+        or not state.is_last_holder
+        or now < state.held_until + OUTAGE_DETECTION_S
+    ):
         return state
     return replace(state, is_last_holder=False)
 
 
 def may_order_in_outage(state: LeaseState) -> bool:
-    """Return whether this instance may go on ordering while nobody reaches the store.
+    """Return whether this instance may send orders while no instance reaches the store.
 
-    Guards against data centres that stay without a whole model during an outage of the
-    store, when nobody can take the lease. It changes hands in the store only, so that
-    the last holder is still the only one. The caller knows whether nobody reaches the
-    store; one that is wrong about it sends the fencing number of its lapsed lease,
-    which is lower than a successor's.
+    Guards against data centres that lack a whole model during an outage of the store,
+    when no instance can acquire the lease. Since the lease can be acquired in the store
+    only, the last holder is still the only one. The caller must know that no instance
+    reaches the store. If it is wrong, its orders carry the fencing number of the
+    expired lease, which is lower than a successor's.
     """
     return state.is_last_holder
 
@@ -92,12 +95,13 @@
     now: float,
     is_holder_gone: bool = False,
 ) -> Step:
-    """Return what to do now. `token` has never been used; `wanted` is whether this
-    instance would hold the lease, and if not it gives back what it holds.
+    """Return the next action on the lease.
 
-    `is_holder_gone` is whether the process that holds the lease is known to have ended,
-    as when its instance was heard under a later boot number. Its lease need not be
-    waited out: who has ended orders nothing.
+    `token` must not have been used before. `wanted` is whether this instance should
+    hold the lease; otherwise it releases a lease that it holds. `is_holder_gone` is
+    whether the process that holds the lease is known to have ended, for example because
+    its instance runs with a later boot number. Such a lease is acquired without waiting
+    for its end, since the process sends no more orders.
     """
     if is_holder_gone and state.phase is Phase.WATCHING:
         state = replace(state, seen_since=float("-inf"))
@@ -124,12 +128,12 @@
     state: LeaseState, terms: LeaseTerms, token: str, wanted: bool, now: float
 ) -> Step:
     if not may_order(state, now=now):
-        # It lapsed. Whether anyone took it, the row says; until then it is as any
-        # other's, and taking it anew takes a new number.
+        # The lease expired, and another instance may have acquired it. Read the row
+        # first; acquiring the lease again takes a new fencing number.
         return Step(kind=StepKind.READ)
     if not wanted:
         return _write(state, token, "", state.fencing)
-    renew_at = state.held_until - terms.held_s * (1 - RENEW_AT)
+    renew_at = state.held_until - terms.held_s * (1 - RENEWAL_SHARE)
     if now < renew_at:
         return Step(kind=StepKind.WAIT, until=renew_at)
     return _write(state, token, state.own_name, state.fencing)
@@ -148,11 +152,11 @@
 
 
 def note_asking(state: LeaseState, step: Step, *, now: float) -> LeaseState:
-    """Remember when a write was begun; the lease counts from before it was asked for.
+    """Record the start time of a write, from which the term of the lease counts.
 
-    A write that gives the lease back ends the holding for good, and no earlier write
-    counts any more: it may take effect late, when this instance has read the row as it
-    was before and would believe itself the holder still.
+    A write that releases the lease ends the holding at once and discards earlier
+    writes. It may be committed late: if this instance reads the old row before that, it
+    must not consider itself the holder because of an earlier write.
     """
     if not step.lease.holder:
         return replace(
@@ -163,7 +167,7 @@
 
 
 def drop_hold(state: LeaseState) -> LeaseState:
-    """Believe no more that this instance holds the lease; the row is read next."""
+    """Stop holding the lease; the row is read next."""
     return replace(
         state,
         phase=Phase.UNSURE,
@@ -176,18 +180,18 @@
 def take_event(
     state: LeaseState, terms: LeaseTerms, event: LeaseEvent, *, now: float
 ) -> LeaseState:
-    """Return the state after an event; `now` is when its reply came."""
+    """Return the state after an event; `now` is when its reply was received."""
     return _EVENTS[type(event)](state, terms, event, now)
 
 
-def _take_row(
+def _apply_row(
     state: LeaseState, terms: LeaseTerms, event: LeaseRead | LeaseWritten, now: float
 ) -> LeaseState:
-    """Take in the row as it was when the reply left the platform.
+    """Apply the row as it was when the platform sent the reply.
 
-    Guards against a lost reply: the row has the token of the write that took effect,
-    and the lease counts from when that write was begun. A row of this instance whose
-    token it does not know is treated as another's and waited out.
+    Guards against a lost reply: the row has the token of the write that was committed,
+    and the term counts from the start of that write. A row of this instance with an
+    unknown token is treated like another instance's: its term must end first.
     """
     lease = event.lease
     is_news = (event.version, lease) != (state.version, state.lease)
@@ -217,19 +221,19 @@
 def _become_unsure(
     state: LeaseState, terms: LeaseTerms, event: ReplyLost, now: float
 ) -> LeaseState:
-    """Read the row before anything else; an older hold stands until its own end."""
+    """Have the row read next. A lease already held stays valid until its end."""
     return replace(state, phase=Phase.UNSURE)
 
 
-def _stay(
+def _keep_state(
     state: LeaseState, terms: LeaseTerms, event: StoreOut, now: float
 ) -> LeaseState:
     return state
 
 
 _EVENTS: dict[type, Callable[..., LeaseState]] = {
-    LeaseRead: _take_row,
-    LeaseWritten: _take_row,
+    LeaseRead: _apply_row,
+    LeaseWritten: _apply_row,
     ReplyLost: _become_unsure,
-    StoreOut: _stay,
+    StoreOut: _keep_state,
 }
--- a/packages/core/fulmarward_core/leases/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/leases/tests/test_decisions.py
@@ -37,18 +37,17 @@
 
 
 class LeaseTest(unittest.TestCase):
-    def test_a_lease_counts_from_before_it_was_asked_for(self):
-        # The store is slow: its reply to the write comes eight seconds late. The
-        # holder counts from the reply, and sends orders when a successor, who waited
-        # out the row it saw, does so too.
+    def test_term_counts_from_before_the_request(self):
+        # Guards against two concurrent holders if the store's reply to the write is
+        # eight seconds late: a holder that counted from the reply would send orders
+        # when a successor, which waited for the end of the term, does so too.
         state = _acquire(now=0.0, reply_at=8.0)
         self.assertTrue(may_order(state, now=_TERMS.held_s - 0.01))
         self.assertFalse(may_order(state, now=_TERMS.held_s))
 
-    def test_a_lost_reply_is_found_by_reading_back(self):
-        # The write that took the lease took effect and its reply was lost. The
-        # instance believes that it does not hold it, and nobody places anything for
-        # as long as it takes the row for another's.
+    def test_write_with_a_lost_reply_is_recognized_in_the_row(self):
+        # Guards against a committed write whose reply was lost. If the instance took
+        # the row for another's, no instance would place anything during that term.
         state = LeaseState(own_name="i1", own_boot=1, phase=Phase.WATCHING)
         step = _step(state, 0.0)
         state = note_asking(state, step, now=0.0)
@@ -59,9 +58,10 @@
         self.assertEqual((state.phase, state.fencing), (Phase.HOLDING, 1))
         self.assertFalse(may_order(state, now=_TERMS.held_s))
 
-    def test_a_holder_that_slept_takes_a_new_number(self):
-        # A holder is paused past its lease and nobody took it meanwhile. Renewing
-        # under the old number would make its orders equal to those still in flight.
+    def test_holder_whose_lease_expired_takes_a_new_fencing_number(self):
+        # A holder is paused until after the end of its lease, and no other instance
+        # acquires it. With the old fencing number, new orders could not be told from
+        # those still in flight.
         state = _acquire()
         step = _step(state, 60.0)
         self.assertEqual(step.kind, StepKind.READ)
@@ -70,7 +70,7 @@
         step = _step(state, 60.0, token="u")
         self.assertEqual((step.kind, step.lease.fencing), (StepKind.WRITE, 2))
 
-    def test_another_run_of_the_same_name_waits_like_anyone(self):
+    def test_another_run_of_the_same_name_waits_for_the_end_of_the_term(self):
         held = _acquire()
         state = LeaseState(own_name="i1", own_boot=2)
         read = LeaseRead(lease=held.lease, version=1)
@@ -78,7 +78,7 @@
         self.assertEqual(_step(state, _TERMS.waited_s - 0.01).kind, StepKind.WAIT)
         self.assertEqual(_step(state, _TERMS.waited_s).lease.fencing, 2)
 
-    def test_a_lease_given_back_is_free_at_once_and_held_no_more(self):
+    def test_released_lease_is_free_at_once_and_no_longer_held(self):
         state = _acquire()
         step = _step(state, 1.0, wanted=False, token="u")
         self.assertEqual((step.lease.holder, step.lease.fencing), ("", 1))
@@ -94,42 +94,44 @@
 
 
 class OutageTest(unittest.TestCase):
-    def test_last_holder_orders_on_while_nobody_reaches_the_store(self):
-        # The store is silent for eight seconds and engines leave. The lease lapsed
-        # after three, nobody could take it, and no data centre had a whole model from
-        # six seconds after the beginning until four seconds after the end.
+    def test_last_holder_may_send_orders_during_an_outage_of_the_store(self):
+        # Guards against data centres without a whole model. The store was down for
+        # eight seconds while engines left. The lease expired after three and could not
+        # be acquired; no data centre had a whole model from six seconds after the start
+        # until four seconds after the end of the outage.
         state = _acquire()
         later = _TERMS.held_s + 5.0
         state = take_store_state(state, is_out=True, now=later)
         self.assertFalse(may_order(state, now=later))
         self.assertTrue(may_order_in_outage(state))
 
-    def test_outage_noticed_a_little_late_counts(self):
+    def test_outage_may_be_detected_shortly_after_the_lease_expired(self):
         state = _acquire()
         state = take_store_state(state, is_out=False, now=_TERMS.held_s + 1.5)
         self.assertTrue(may_order_in_outage(state))
 
-    def test_holder_whose_lease_lapsed_before_the_outage_orders_nothing(self):
-        # An instance is cut off, its lease goes to another, and it does not read the
-        # row again since it is not its turn. Later the store is out for all: both
-        # took themselves for the last holder.
+    def test_holder_whose_lease_expired_before_the_outage_sends_no_orders(self):
+        # Guards against two last holders. An instance is isolated, another one acquires
+        # the lease, and the first does not read the row again since it is no candidate.
+        # In a later outage of the store both would consider themselves the last holder.
         state = _acquire()
         state = take_store_state(state, is_out=False, now=_TERMS.held_s + 3.0)
         state = take_store_state(state, is_out=True, now=_TERMS.held_s + 9.0)
         self.assertFalse(may_order_in_outage(state))
 
-    def test_who_reads_of_another_holder_or_gave_back_orders_nothing(self):
+    def test_instance_that_read_of_another_holder_or_released_sends_no_orders(self):
         state = _acquire()
         other = Lease(holder="i2", boot=1, fencing=2, token="x")
         read = LeaseRead(lease=other, version=2)
         self.assertFalse(may_order_in_outage(take_event(state, _TERMS, read, now=20.0)))
         self.assertFalse(may_order_in_outage(drop_hold(state)))
-        given_back = note_asking(state, _step(state, 1.0, wanted=False), now=1.0)
-        self.assertFalse(may_order_in_outage(given_back))
+        released = note_asking(state, _step(state, 1.0, wanted=False), now=1.0)
+        self.assertFalse(may_order_in_outage(released))
 
-    def test_lease_of_a_process_that_has_ended_is_not_waited_out(self):
-        # The holder is stopped while the store is out and cannot give its lease back.
-        # Its next start saw the row of its last one and waited for three seconds.
+    def test_lease_of_an_ended_process_is_acquired_without_waiting(self):
+        # Guards against a delay after a restart. The holder was stopped during an
+        # outage of the store and could not release its lease. Its next run read the
+        # row of the previous one and waited for three seconds.
         state = LeaseState(own_name="i1", own_boot=2)
         lease = Lease(holder="i1", boot=1, fencing=3, token="x")
         state = take_event(state, _TERMS, LeaseRead(lease=lease, version=7), now=50.0)
--- a/packages/core/fulmarward_core/leases/tests/test_machine.py
+++ b/packages/core/fulmarward_core/leases/tests/test_machine.py
@@ -21,23 +21,23 @@
 
 _TERMS = LeaseTerms(term_s=10.0, drift=0.03, margin_s=0.2)
 
-#: How fast each instance's clock goes: at most 2 in 100 apart.
+#: Relative rate of each instance's clock; they differ by at most 2 in 100.
 _RATES = (0.99, 1.0, 1.01)
-_PLAYERS = st.integers(0, len(_RATES) - 1)
+_INSTANCES = st.integers(0, len(_RATES) - 1)
 
 
 @dataclass
 class _Write:
-    player: int
+    instance: int
     lease: Lease
     version: int
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Three instances, their drifting clocks, and a store that loses replies.
+    """Three instances with drifting clocks, and a store that loses replies.
 
-    A paused instance is one that takes no step while time goes on; an order of it
-    may land at any later time.
+    An instance is paused if it takes no step while time passes. Its orders may arrive
+    at any later time.
     """
 
     def __init__(self):
@@ -53,13 +53,13 @@
         self.owners = {}
         self.tokens = 0
 
-    def _now(self, player):
-        return self.time * _RATES[player]
+    def _now(self, instance):
+        return self.time * _RATES[instance]
 
-    def _take(self, player, event):
-        state = self.states[player]
-        now = self._now(player)
-        self.states[player] = take_event(state, _TERMS, event, now=now)
+    def _apply(self, instance, event):
+        state = self.states[instance]
+        now = self._now(instance)
+        self.states[instance] = take_event(state, _TERMS, event, now=now)
 
     def _commit(self, write):
         if write.version != self.version:
@@ -75,71 +75,71 @@
         self.time += seconds
 
     @rule(
-        player=_PLAYERS,
+        instance=_INSTANCES,
         wanted=st.sampled_from([True, True, True, False]),
         delay=st.floats(0.0, 4.0),
-        fate=st.sampled_from(["told", "told", "lost", "refused", "late"]),
+        outcome=st.sampled_from(["answered", "answered", "lost", "refused", "late"]),
     )
-    def step(self, player, wanted, delay, fate):
+    def step(self, instance, wanted, delay, outcome):
         self.tokens += 1
         step = choose_step(
-            self.states[player],
+            self.states[instance],
             _TERMS,
             token=str(self.tokens),
             wanted=wanted,
-            now=self._now(player),
+            now=self._now(instance),
         )
         if step.kind is StepKind.READ:
             event = LeaseRead(lease=self.row, version=self.version)
             self.time += delay
-            self._take(player, StoreOut() if fate == "refused" else event)
+            self._apply(instance, StoreOut() if outcome == "refused" else event)
         if step.kind is StepKind.WRITE:
-            self._write(player, step, delay, fate)
-
-    def _write(self, player, step, delay, fate):
-        state = self.states[player]
-        self.states[player] = note_asking(state, step, now=self._now(player))
-        write = _Write(player, step.lease, step.version)
-        if fate == "refused":
-            self._take(player, StoreOut())
+            self._write(instance, step, delay, outcome)
+
+    def _write(self, instance, step, delay, outcome):
+        state = self.states[instance]
+        self.states[instance] = note_asking(state, step, now=self._now(instance))
+        write = _Write(instance, step.lease, step.version)
+        if outcome == "refused":
+            self._apply(instance, StoreOut())
             return
-        if fate == "late":
+        if outcome == "late":
             self.late_writes.append(write)
-            self._take(player, ReplyLost())
+            self._apply(instance, ReplyLost())
             return
         self.time += delay
         if not self._commit(write):
-            self._take(player, LeaseRead(lease=self.row, version=self.version))
+            self._apply(instance, LeaseRead(lease=self.row, version=self.version))
             return
         self.time += delay
-        told = LeaseWritten(lease=step.lease, version=step.version + 1)
-        self._take(player, told if fate == "told" else ReplyLost())
+        reply = LeaseWritten(lease=step.lease, version=step.version + 1)
+        self._apply(instance, reply if outcome == "answered" else ReplyLost())
 
     @precondition(lambda self: self.late_writes)
-    @rule(which=st.integers(0, 5))
-    def land_late_write(self, which):
-        self._commit(self.late_writes.pop(which % len(self.late_writes)))
-
-    @rule(player=_PLAYERS)
-    def send_order(self, player):
-        state = self.states[player]
-        if may_order(state, now=self._now(player)):
+    @rule(index=st.integers(0, 5))
+    def commit_late_write(self, index):
+        self._commit(self.late_writes.pop(index % len(self.late_writes)))
+
+    @rule(instance=_INSTANCES)
+    def send_order(self, instance):
+        state = self.states[instance]
+        if may_order(state, now=self._now(instance)):
             self.orders.append((state.fencing, state.own_name))
 
     @precondition(lambda self: self.orders)
-    @rule(which=st.integers(0, 5))
-    def land_order(self, which):
-        fencing, owner = self.orders.pop(which % len(self.orders))
+    @rule(index=st.integers(0, 5))
+    def deliver_order(self, index):
+        fencing, owner = self.orders.pop(index % len(self.orders))
         if fencing >= self.engine_fencing:
             assert self.owners[fencing] == owner
             self.engine_fencing = fencing
 
     @invariant()
-    def at_most_one_believes_that_it_holds_the_lease(self):
+    def at_most_one_instance_holds_the_lease(self):
         holders = [
             state
-            for player, state in enumerate(self.states)
-            if may_order(state, now=self._now(player))
+            for instance, state in enumerate(self.states)
+            if may_order(state, now=self._now(instance))
         ]
         assert len(holders) <= 1, holders
         for holder in holders:
