--- a/packages/core/fulmarward_core/catalogue/__init__.py
+++ b/packages/core/fulmarward_core/catalogue/__init__.py
@@ -1,4 +1,4 @@
-"""The targets that an instance knows of, from the store and from peers."""
+"""Catalogue of all known targets, fed by the store and by peers."""
 
 from fulmarward_core.catalogue._catalogue import (
     EXPIRY_AGE_S,
