--- a/packages/core/fulmarward_core/spread/__init__.py
+++ b/packages/core/fulmarward_core/spread/__init__.py
@@ -1,4 +1,4 @@
-"""Dissemination of large snapshots without filling the links between instances."""
+"""Dissemination of large snapshots without saturating the links between instances."""
 
 from fulmarward_core.spread._fetch import FetchTimeout, PendingFetch
 from fulmarward_core.spread._packing import pack_value, unpack_value
--- a/packages/core/fulmarward_core/spread/_fetch.py
+++ b/packages/core/fulmarward_core/spread/_fetch.py
@@ -1,22 +1,22 @@
-"""Which peer to fetch a newer version from, one at a time."""
+"""Choice of the one peer to fetch a newer version from."""
 
 from dataclasses import dataclass
 
-#: Seconds after which a fetch without an answer is given up: several large snapshots
-#: pass a small link meanwhile.
+#: Seconds after which a fetch without an answer is abandoned. Several large snapshots
+#: can pass a slow link in that time.
 FETCH_TIMEOUT_S = 1.0
 
-#: Seconds for which a peer that sends to others first is not asked again.
+#: Seconds for which a peer that deferred a fetch is not asked again.
 DEFER_DURATION_S = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
 class FetchTimeout:
-    """A fetch that had no answer."""
+    """A fetch that was abandoned without an answer."""
 
     #: Name of the peer that was asked.
     peer: str
-    #: Seconds for which it was pending.
+    #: Seconds for which the fetch was pending.
     after_s: float
 
 
@@ -28,11 +28,12 @@
 
 
 class PendingFetch:
-    """The one fetch of a newer version that is pending, and which peers deferred it.
+    """The single pending fetch of a newer version, and the peers that deferred it.
 
-    Guards against a second snapshot on a link that is still busy with the first: all
-    peers report a new version within a moment. An answer without a newer version ends
-    nothing, so that a snapshot which cannot be read is not fetched again at once.
+    Guards against a second snapshot on a link that is still busy with the first, since
+    all peers report a new version at about the same time. An answer without a newer
+    version leaves the fetch pending, so that a snapshot that cannot be decoded is not
+    fetched again at once.
     """
 
     def __init__(self) -> None:
@@ -40,7 +41,10 @@
         self._deferred_until: dict[str, float] = {}
 
     def ask(self, peer: str, *, known: int, now: float) -> bool:
-        """Return whether to ask `peer` now, given the version that is known here."""
+        """Start a fetch from `peer` unless one is pending; return whether to send it.
+
+        `known` is the version that is known here.
+        """
         if self._open is not None and self._open.known == known:
             return False
         if now < self._deferred_until.get(peer, now):
@@ -49,13 +53,13 @@
         return True
 
     def give_up(self, *, known: int, now: float) -> FetchTimeout | None:
-        """Drop the fetch if it has been pending for too long, and return it."""
+        """Abandon the fetch if it has been pending for too long, and return it."""
         if self._open is None or now - self._open.sent_at < FETCH_TIMEOUT_S:
             return None
         return self._drop(known, now)
 
     def note_deferred(self, peer: str, *, now: float) -> None:
-        """A peer sends to others first: another one may be asked at once."""
+        """Record that a peer sends to others first; another may be asked at once."""
         self._deferred_until = {
             name: until for name, until in self._deferred_until.items() if until > now
         }
@@ -64,14 +68,14 @@
             self._open = None
 
     def note_lost(self, peer: str, *, known: int, now: float) -> FetchTimeout | None:
-        """Drop the fetch if it went to `peer`, whose link has ended."""
+        """Abandon the fetch if it went to `peer`, whose link was closed."""
         return self._drop(known, now) if self._is_open_at(peer) else None
 
     def _is_open_at(self, peer: str) -> bool:
         return self._open is not None and self._open.peer == peer
 
     def _drop(self, known: int, now: float) -> FetchTimeout | None:
-        """Drop the fetch; one that brought what is known now was answered."""
+        """Drop the fetch; return it unless a newer version than before is known."""
         fetch, self._open = self._open, None
         if fetch is None or fetch.known != known:
             return None
--- a/packages/core/fulmarward_core/spread/_packing.py
+++ b/packages/core/fulmarward_core/spread/_packing.py
@@ -1,25 +1,26 @@
-"""A row's value as it travels."""
+"""Compression of a row's value for transport."""
 
 import zlib
 
-#: Upper bound of an unpacked value, so that few bytes cannot fill the memory.
+#: Maximum size of an unpacked value. Guards against small messages that exhaust the
+#: memory.
 MAX_VALUE_BYTES = 4 << 20
 
 
 def pack_value(value: bytes) -> bytes:
-    """Return a value as it travels; routes that are like each other take a tenth."""
+    """Compress a value; similar routes shrink to a tenth of their size."""
     return zlib.compress(value)
 
 
 def unpack_value(packed: bytes) -> bytes:
-    """Return the value in `packed`; raises `ValueError` if it holds no whole one."""
+    """Return the value in `packed`; raises `ValueError` unless it holds exactly one."""
     stream = zlib.decompressobj()
     try:
         value = stream.decompress(packed, MAX_VALUE_BYTES + 1)
     except zlib.error as error:
-        raise ValueError(f"expected a packed value, found {error}") from error
+        raise ValueError(f"cannot decompress the packed value: {error}") from error
     if len(value) > MAX_VALUE_BYTES:
-        raise ValueError(f"expected at most {MAX_VALUE_BYTES} bytes, found more")
+        raise ValueError(f"unpacked value may have at most {MAX_VALUE_BYTES} bytes")
     if not stream.eof or stream.unused_data:
-        raise ValueError("expected one whole packed value, found another end")
+        raise ValueError("packed value is truncated or followed by other data")
     return value
--- a/packages/core/fulmarward_core/spread/_transfers.py
+++ b/packages/core/fulmarward_core/spread/_transfers.py
@@ -1,12 +1,13 @@
-"""To how many peers a snapshot is sent at once."""
+"""Limit on the number of peers to which a snapshot is sent concurrently."""
 
 from dataclasses import dataclass
 
-#: Seconds for which the snapshots in flight may occupy this instance's link, so that
-#: probes are not queued behind them.
+#: Seconds for which the snapshots in flight may occupy this instance's link. Guards
+#: against probes that queue behind them.
 MAX_OCCUPANCY_S = 0.05
 
-#: Bounds on snapshot bytes in flight; the lower one holds where the link is not known.
+#: Limits on snapshot bytes in flight. The lower one applies if the link's rate is
+#: unknown.
 MAX_IN_FLIGHT_BYTES = 125_000
 MAX_FAST_IN_FLIGHT_BYTES = 1_000_000
 
@@ -21,17 +22,21 @@
 
 
 def find_max_in_flight(link_bytes_per_s: float | None) -> int:
-    """Return how many snapshot bytes may be in flight on a link, `None` if unknown."""
+    """Return how many snapshot bytes may be in flight on a link.
+
+    `link_bytes_per_s` is `None` if the link's rate is unknown.
+    """
     if link_bytes_per_s is None:
         return MAX_IN_FLIGHT_BYTES
     return min(MAX_FAST_IN_FLIGHT_BYTES, int(link_bytes_per_s * MAX_OCCUPANCY_S))
 
 
 class TransferLimiter:
-    """The snapshots in flight, by peer; one is always sent.
+    """Limits the snapshots in flight; a single one is always allowed.
 
-    Guards against a link that is full with copies of one snapshot while a peer that has
-    it already could send it on: few at a time, the number of senders doubles.
+    Guards against a link that is saturated with copies of a snapshot while peers that
+    have it already could forward it: with few copies at a time, the number of senders
+    doubles with each round.
     """
 
     def __init__(self, *, max_bytes: int = MAX_IN_FLIGHT_BYTES) -> None:
@@ -39,7 +44,7 @@
         self._in_flight: dict[str, _Transfer] = {}
 
     def begin(self, peer: str, size: int, *, now: float) -> bool:
-        """Return whether to send a snapshot of `size` bytes to a peer now."""
+        """Start a transfer of `size` bytes if it is allowed; return whether it is."""
         self._in_flight = {
             name: transfer
             for name, transfer in self._in_flight.items()
@@ -54,5 +59,5 @@
         return True
 
     def end(self, peer: str) -> None:
-        """The snapshot was received, or the peer is gone."""
+        """Record that the peer received the snapshot or disconnected."""
         self._in_flight.pop(peer, None)
--- a/packages/core/fulmarward_core/spread/tests/test_packing.py
+++ b/packages/core/fulmarward_core/spread/tests/test_packing.py
@@ -10,29 +10,29 @@
 
 class PackingTest(unittest.TestCase):
     @given(st.binary())
-    def test_value_comes_through_as_it_was(self, value):
+    def test_round_trip(self, value):
         self.assertEqual(unpack_value(pack_value(value)), value)
 
-    def test_what_is_no_whole_value_is_refused(self):
+    def test_invalid_data_is_rejected(self):
         packed = pack_value(b"routes" * 100)
         cases = [
-            ("nothing", b""),
+            ("empty", b""),
             ("not packed", b'{"version": 7}'),
-            ("cut off", packed[:-3]),
-            ("changed on the way", packed[:9] + b"\xff" + packed[10:]),
-            ("with more behind it", packed + b"x"),
-            ("larger than any row", zlib.compress(bytes(MAX_VALUE_BYTES + 1))),
+            ("truncated", packed[:-3]),
+            ("corrupted", packed[:9] + b"\xff" + packed[10:]),
+            ("followed by other data", packed + b"x"),
+            ("too large", zlib.compress(bytes(MAX_VALUE_BYTES + 1))),
         ]
         for name, data in cases:
             with self.subTest(name), self.assertRaises(ValueError):
                 unpack_value(data)
 
-    def test_largest_value_comes_through(self):
+    def test_round_trip_of_the_largest_value(self):
         self.assertEqual(len(unpack_value(pack_value(bytes(MAX_VALUE_BYTES)))), 4 << 20)
 
-    def test_few_bytes_that_unpack_to_many_fill_no_memory(self):
-        # A message of 64 KB that holds 64 MB: only as much of it is unpacked as a row
-        # may have.
+    def test_decompression_bomb_does_not_exhaust_the_memory(self):
+        # A message of 64 KB that expands to 64 MB is unpacked up to the maximum size of
+        # a value only.
         packed = zlib.compress(bytes(64 << 20))
         tracemalloc.start()
         self.addCleanup(tracemalloc.stop)
--- a/packages/core/fulmarward_core/spread/tests/test_transfers.py
+++ b/packages/core/fulmarward_core/spread/tests/test_transfers.py
@@ -12,20 +12,20 @@
 
 class TransferLimiterTest(unittest.TestCase):
     def setUp(self):
-        self.tellings = TransferLimiter()
+        self.limiter = TransferLimiter()
 
     def _begin(self, peers, size, now=0.0):
-        return [peer for peer in peers if self.tellings.begin(peer, size, now=now)]
+        return [peer for peer in peers if self.limiter.begin(peer, size, now=now)]
 
-    def test_how_many_are_told_at_once(self):
+    def test_number_of_concurrent_transfers(self):
         cases = [
-            ("small rows", MAX_IN_FLIGHT_BYTES // 5, 5),
-            ("large rows", MAX_IN_FLIGHT_BYTES // 2, 2),
-            ("a row that takes it all", MAX_IN_FLIGHT_BYTES * 8, 1),
+            ("small snapshots", MAX_IN_FLIGHT_BYTES // 5, 5),
+            ("large snapshots", MAX_IN_FLIGHT_BYTES // 2, 2),
+            ("larger than the limit", MAX_IN_FLIGHT_BYTES * 8, 1),
         ]
         for name, size, expected in cases:
             with self.subTest(name):
-                self.tellings = TransferLimiter()
+                self.limiter = TransferLimiter()
                 self.assertEqual(len(self._begin("abcdefgh", size)), expected)
 
     def test_bytes_in_flight_follow_the_link(self):
@@ -41,30 +41,30 @@
             with self.subTest(link_bytes_per_s=link_bytes_per_s):
                 self.assertEqual(find_max_in_flight(link_bytes_per_s), expected)
 
-    def test_next_one_is_told_once_a_row_has_arrived_or_its_peer_is_silent(self):
+    def test_next_transfer_starts_after_an_end_or_a_timeout(self):
         self.assertEqual(self._begin("abc", MAX_IN_FLIGHT_BYTES // 2), ["a", "b"])
-        self.tellings.end("a")
+        self.limiter.end("a")
         self.assertEqual(self._begin("bcd", MAX_IN_FLIGHT_BYTES // 2, 0.5), ["c"])
         later = self._begin("de", MAX_IN_FLIGHT_BYTES // 2, TRANSFER_TIMEOUT_S)
         self.assertEqual(later, ["d"])
 
-    def test_peer_that_asks_again_has_no_second_copy_under_way(self):
+    def test_peer_has_at_most_one_transfer_in_flight(self):
         self.assertEqual(self._begin("aa", 10), ["a"])
 
-    def test_end_of_what_never_began_changes_nothing(self):
-        self.tellings.end("a")
+    def test_end_without_a_transfer_has_no_effect(self):
+        self.limiter.end("a")
         self.assertEqual(self._begin("a", 10), ["a"])
 
     @given(
         st.lists(st.tuples(st.booleans(), st.integers(0, 9), st.integers(1, 99_999)))
     )
-    def test_never_more_under_way_than_the_link_may_bear(self, steps):
-        tellings, under_way = TransferLimiter(), {}
-        for is_question, peer, size in steps:
-            if not is_question:
-                tellings.end(str(peer))
-                under_way.pop(peer, None)
-            elif tellings.begin(str(peer), size, now=0.0):
-                self.assertNotIn(peer, under_way)
-                under_way[peer] = size
-            self.assertLessEqual(sum(under_way.values()), MAX_IN_FLIGHT_BYTES)
+    def test_bytes_in_flight_never_exceed_the_limit(self, steps):
+        limiter, in_flight = TransferLimiter(), {}
+        for is_begin, peer, size in steps:
+            if not is_begin:
+                limiter.end(str(peer))
+                in_flight.pop(peer, None)
+            elif limiter.begin(str(peer), size, now=0.0):
+                self.assertNotIn(peer, in_flight)
+                in_flight[peer] = size
+            self.assertLessEqual(sum(in_flight.values()), MAX_IN_FLIGHT_BYTES)
