--- a/packages/core/fulmarward_core/stalls/__init__.py
+++ b/packages/core/fulmarward_core/stalls/__init__.py
@@ -1,4 +1,4 @@
-"""Which targets may be lost, by the streams that stand still."""
+"""Detection of targets that may have failed, based on stalled streams."""
 
 from fulmarward_core.stalls.decisions import (
     MIN_STALL_S,
