--- a/packages/core/fulmarward_core/overlay/__init__.py
+++ b/packages/core/fulmarward_core/overlay/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances an instance keeps links to."""
+"""Topology of the links between instances."""
 
 from fulmarward_core.overlay.decisions import (
     FULL_MESH,
--- a/packages/core/fulmarward_core/overlay/decisions.py
+++ b/packages/core/fulmarward_core/overlay/decisions.py
@@ -1,40 +1,40 @@
-"""Which instances an instance keeps links to.
+"""Topology of the links between instances.
 
-A few instances are linked each to each. Many are linked through hubs, two in each data
-centre: the others of the data centre subscribe to them, and the hubs of all data
-centres are linked each to each. Everyone finds the hubs alone, by name among those
-that live.
+Small fleets form a full mesh. Larger ones are linked through hubs, two in each data
+centre: the other instances of the data centre subscribe to them, and the hubs of all
+data centres form a full mesh. Each instance determines the hubs by itself: the first
+live instances by name.
 """
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-#: Instances, of the fleet or of a data centre, up to which each is linked to each.
+#: Number of instances, in the fleet or in a data centre, up to which they form a full
+#: mesh.
 FULL_MESH = 16
 
-#: Hubs of a data centre: where one is killed, the other goes on.
+#: Number of hubs per data centre. If one fails, the other one takes over.
 HUBS = 2
 
-#: Instances that are tried at once where no hub of a data centre is known to live.
+#: Number of instances tried at a time if no live hub of a data centre is known.
 TRIED = 4
 
 
 @dataclass(frozen=True, kw_only=True)
 class Node:
-    """An instance as far as links are concerned."""
+    """An instance in the topology."""
 
-    #: Its name and data centre.
     name: str
     data_centre: str
-    #: Whether it was heard lately, directly or by a hub's report.
+    #: Whether it was heard from recently, directly or through a hub's report.
     is_alive: bool
-    #: Whether it hears others only on links that they dial: its code is older than
-    #: subscriptions.
+    #: Whether it receives messages only on links that others open to it, since its
+    #: version is older than subscriptions.
     needs_dialling: bool = False
 
 
 def choose_hubs(nodes: Iterable[Node], data_centre: str) -> list[str]:
-    """Return the names of the hubs of a data centre: the first that live."""
+    """Return the names of a data centre's hubs: its first live instances by name."""
     names = [n.name for n in nodes if n.data_centre == data_centre and n.is_alive]
     return sorted(names)[:HUBS]
 
@@ -42,10 +42,11 @@
 def choose_links(own: Node, others: Sequence[Node], *, turn: int = 0) -> frozenset[str]:
     """Return the names of the instances that `own` keeps links to.
 
-    `turn` rises now and then. Where nobody of a data centre is known to live, a few are
-    tried, others in each turn, and hubs try the silent ones of their own data centre.
-    Guards against parts that stay apart after all power was lost, each waiting for the
-    other's first message.
+    If no instance of a data centre is known to be alive, hubs try a few of them; hubs
+    also try the silent instances of their own data centre. `turn` is incremented
+    periodically and rotates which ones are tried. Guards against parts of the fleet
+    that stay disconnected after a power failure, each waiting for the other's first
+    message.
     """
     if len(others) < FULL_MESH:
         return frozenset(node.name for node in others)
@@ -62,7 +63,7 @@
 def _choose_near(
     own: Node, near: Sequence[Node], hubs: Sequence[str], turn: int
 ) -> set[str]:
-    """Return the names of the instances to link to in the own data centre."""
+    """Return the names of the instances in its own data centre that `own` links to."""
     if len(near) < FULL_MESH:
         return {node.name for node in near}
     links = {node.name for node in near if node.needs_dialling}
@@ -74,9 +75,10 @@
 
 
 def choose_subscriptions(own: Node, others: Sequence[Node]) -> list[str]:
-    """Return the names of the hubs that `own` follows, the first of them for reports.
+    """Return the names of the hubs that `own` subscribes to.
 
-    There are none where it hears all of its data centre itself.
+    The first one sends it reports. There are none if `own` is a hub or is linked to all
+    instances of its data centre.
     """
     near = [node for node in others if node.data_centre == own.data_centre]
     if len(others) < FULL_MESH or len(near) < FULL_MESH:
@@ -86,7 +88,7 @@
 
 
 def _list_tried(silent: Sequence[Node], turn: int) -> list[str]:
-    """Return whom to try of some that are not known to live."""
+    """Return the names of the silent instances to try in this turn."""
     names = sorted(node.name for node in silent)
     if not names:
         return []
