--- a/packages/core/fulmarward_core/membership/decisions/_silence.py
+++ b/packages/core/fulmarward_core/membership/decisions/_silence.py
@@ -14,20 +14,20 @@
 #: Consecutive missed heartbeats, at one a second, after which other members probe the
 #: instance. A single one may be a lost packet. Two in a row, followed by the failed
 #: probes of two other members, are rarely chance.
-MOST_MISSES = 2
+MAX_MISSES = 2
 
 #: Number of members that probe an unresponsive one.
-PROBERS = 2
+PROBER_COUNT = 2
 
 #: Seconds of suspicion after which a member is declared dead. A paused instance has
 #: this long to refute the rumour, so that a short pause does not remove it.
-DEAD_AFTER_S = 3.0
+SUSPICION_TIMEOUT_S = 3.0
 
 #: Seconds for which dead members are remembered. If they were never forgotten the table
 #: would grow without bound; if forgotten too soon, a peer's outdated rumour would bring
 #: them back. Rumours reach all members within seconds. With 690 replacements a day and
 #: the loss of a data centre of 17, about twenty members die within five minutes.
-FORGET_S = 300.0
+DEAD_RETENTION_S = 300.0
 
 #: Seconds of absence from the platform's list after which a suspected member is
 #: declared dead at once. The list lags by less than this.
@@ -40,7 +40,7 @@
     A refused connection shows that no process is listening, which a timeout does not:
     a repetition would be useless.
     """
-    if is_refused or misses >= MOST_MISSES:
+    if is_refused or misses >= MAX_MISSES:
         return Miss.ASK_OTHERS
     return Miss.TRY_AGAIN
 
@@ -59,7 +59,7 @@
         if member.name not in (name, table.own_name)
         and member.state is MemberState.ALIVE
     ]
-    return generator.sample(others, min(PROBERS, len(others)))
+    return generator.sample(others, min(PROBER_COUNT, len(others)))
 
 
 def worsen_member(member: Member) -> Member:
@@ -80,14 +80,16 @@
     return [
         replace(table.members[name], state=MemberState.DEAD)
         for name, since in table.suspected_at.items()
-        if now - since > DEAD_AFTER_S
+        if now - since > SUSPICION_TIMEOUT_S
         or now - table.unlisted_at.get(name, now) > UNLISTED_S
     ]
 
 
 def forget_dead(table: MemberTable, *, now: float) -> list[str]:
-    """Remove members that died more than `FORGET_S` ago and return their names."""
-    names = [name for name, since in table.dead_at.items() if now - since > FORGET_S]
+    """Remove members that died more than `DEAD_RETENTION_S` ago and return their names."""
+    names = [
+        name for name, since in table.dead_at.items() if now - since > DEAD_RETENTION_S
+    ]
     for name in names:
         del table.dead_at[name]
         table.untold.pop(name, None)
