--- a/packages/core/fulmarward_core/health/_types.py
+++ b/packages/core/fulmarward_core/health/_types.py
@@ -51,7 +51,7 @@
     #: The latest observations of this instance itself.
     observations: dict[LeavingKey, Observation] = field(default_factory=dict)
     #: When each record was received, in seconds on the steady clock.
-    heard_at: dict[LeavingKey, float] = field(default_factory=dict)
+    received_at: dict[LeavingKey, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/core/fulmarward_core/health/decisions.py
+++ b/packages/core/fulmarward_core/health/decisions.py
@@ -114,8 +114,10 @@
     record = table.records.get(key)
     if _is_marked_leaving(record) == leaving:
         return None
-    is_news = has_changed or (leaving and is_first) or _has_lasted(table, key, now=now)
-    if not is_news:
+    needs_record = (
+        has_changed or (leaving and is_first) or _has_lasted(table, key, now=now)
+    )
+    if not needs_record:
         return None
     return announce(table, key, leaving=leaving, now=now)
 
@@ -126,7 +128,7 @@
     The time starts with the observation or the record, whichever is later.
     """
     seen = table.observations[key]
-    since = max(seen.since, table.heard_at.get(key, seen.since))
+    since = max(seen.since, table.received_at.get(key, seen.since))
     return not seen.is_leaving and now - since >= CONTRADICT_AFTER_S
 
 
@@ -169,7 +171,7 @@
     if known is not None and _rank(record) <= _rank(known):
         return False
     table.records[key] = record
-    table.heard_at[key] = now
+    table.received_at[key] = now
     return True
 
 
@@ -195,7 +197,9 @@
     table.observations = {
         key: seen for key, seen in table.observations.items() if key[0] in kept
     }
-    table.heard_at = {key: at for key, at in table.heard_at.items() if key[0] in kept}
+    table.received_at = {
+        key: at for key, at in table.received_at.items() if key[0] in kept
+    }
 
 
 def select_followed(
--- a/packages/core/fulmarward_core/leases/_types.py
+++ b/packages/core/fulmarward_core/leases/_types.py
@@ -72,7 +72,7 @@
     #: The row as last read, its version, and since when it has been unchanged.
     lease: Lease = ABSENT_LEASE
     version: int = 0
-    seen_since: float = float("-inf")
+    unchanged_since: float = float("-inf")
     #: End of this instance's lease, in seconds on its steady clock.
     held_until: float = float("-inf")
     #: The fencing number of that lease.
@@ -81,7 +81,7 @@
     is_last_holder: bool = False
     #: Start times of this instance's writes, by token: those whose outcome may still
     #: appear in the row.
-    asked_at: Mapping[str, float] = field(default_factory=dict)
+    write_started_at: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/core/fulmarward_core/leases/decisions.py
+++ b/packages/core/fulmarward_core/leases/decisions.py
@@ -104,7 +104,7 @@
     for its end, since the process sends no more orders.
     """
     if is_holder_gone and state.phase is Phase.WATCHING:
-        state = replace(state, seen_since=float("-inf"))
+        state = replace(state, unchanged_since=float("-inf"))
     return _STEPS[state.phase](state, terms, token, wanted, now)
 
 
@@ -117,7 +117,7 @@
 def _step_watching(
     state: LeaseState, terms: LeaseTerms, token: str, wanted: bool, now: float
 ) -> Step:
-    free_from = state.seen_since + terms.waited_s
+    free_from = state.unchanged_since + terms.waited_s
     is_free = not state.lease.holder or now >= free_from
     if not (wanted and is_free):
         return Step(kind=StepKind.WAIT, until=free_from)
@@ -160,10 +160,12 @@
     """
     if not step.lease.holder:
         return replace(
-            state, asked_at={}, held_until=float("-inf"), is_last_holder=False
+            state, write_started_at={}, held_until=float("-inf"), is_last_holder=False
         )
-    asked = {**state.asked_at, step.lease.token: now}
-    return replace(state, asked_at=dict(list(asked.items())[-MAX_REMEMBERED_WRITES:]))
+    started = {**state.write_started_at, step.lease.token: now}
+    return replace(
+        state, write_started_at=dict(list(started.items())[-MAX_REMEMBERED_WRITES:])
+    )
 
 
 def drop_hold(state: LeaseState) -> LeaseState:
@@ -172,7 +174,7 @@
         state,
         phase=Phase.UNSURE,
         held_until=float("-inf"),
-        asked_at={},
+        write_started_at={},
         is_last_holder=False,
     )
 
@@ -194,19 +196,19 @@
     unknown token is treated like another instance's: its term must end first.
     """
     lease = event.lease
-    is_news = (event.version, lease) != (state.version, state.lease)
+    has_changed = (event.version, lease) != (state.version, state.lease)
     seen = replace(
         state,
         phase=Phase.WATCHING,
         lease=lease,
         version=event.version,
-        seen_since=now if is_news else state.seen_since,
+        unchanged_since=now if has_changed else state.unchanged_since,
         is_last_holder=False,
     )
     is_own = (lease.holder, lease.boot) == (state.own_name, state.own_boot)
-    if not is_own or lease.token not in state.asked_at:
+    if not is_own or lease.token not in state.write_started_at:
         return replace(seen, held_until=float("-inf"))
-    held_until = state.asked_at[lease.token] + terms.held_s
+    held_until = state.write_started_at[lease.token] + terms.held_s
     if now >= held_until:
         return replace(seen, held_until=float("-inf"))
     return replace(
--- a/packages/core/fulmarward_core/membership/decisions/_silence.py
+++ b/packages/core/fulmarward_core/membership/decisions/_silence.py
@@ -86,7 +86,7 @@
 
 
 def forget_dead(table: MemberTable, *, now: float) -> list[str]:
-    """Remove members that died more than `DEAD_RETENTION_S` ago and return their names."""
+    """Remove members that died over `DEAD_RETENTION_S` ago and return their names."""
     names = [
         name for name, since in table.dead_at.items() if now - since > DEAD_RETENTION_S
     ]
--- a/packages/core/fulmarward_core/suspicion/_table.py
+++ b/packages/core/fulmarward_core/suspicion/_table.py
@@ -15,11 +15,11 @@
 SATURATED_DURATION_S = 0.4
 
 #: The exclusion doubles up to this many seconds while a target keeps rejecting, and
-#: starts over after `_SATURATED_AGAIN_S` without a rejection. Guards against targets
+#: starts over after `_SATURATED_RESET_S` without a rejection. Guards against targets
 #: that leave during an outage of the store: every request would try several of them
 #: and run out of attempts.
 MAX_SATURATED_DURATION_S = 3.2
-_SATURATED_AGAIN_S = 2.0
+_SATURATED_RESET_S = 2.0
 
 #: Seconds for which a target is excluded after consecutive errors.
 FAILING_DURATION_S = 3.0
@@ -187,7 +187,7 @@
             return
         lasted_s = SATURATED_DURATION_S
         if known is not None and known.reason == "saturated":
-            if now - known.until < _SATURATED_AGAIN_S:
+            if now - known.until < _SATURATED_RESET_S:
                 lasted_s = min(MAX_SATURATED_DURATION_S, known.lasted_s * 2)
         self._suspicions[target] = Suspicion(
             target=target,
