--- a/packages/core/fulmarward_core/catalogue/_catalogue.py
+++ b/packages/core/fulmarward_core/catalogue/_catalogue.py
@@ -85,8 +85,9 @@
     def may_be_short(self, *, now: float) -> bool:
         """Return whether live targets may be missing because their rows expired.
 
-        That is the case during an outage of the store and for `RETURN_DURATION_S` after
-        it, and after the first read, when the store may just have recovered.
+        That is the case during an outage of the store, for `RETURN_DURATION_S` after
+        it, and for as long after the first read, when the store may just have
+        recovered.
         """
         since = max(self._recovered_at, self._first_read_at)
         return now - since < RETURN_DURATION_S or now - self.confirmed_at > EXPIRY_AGE_S
