--- a/packages/instance/fulmarward/requests/__init__.py
+++ b/packages/instance/fulmarward/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Executing requests: from an accepted call to the end of its answer."""
+"""Execution of accepted requests: admission, routing, attempts and retries."""
 
 from fulmarward.requests._admit import run_admission
 from fulmarward.requests._call import Call, hold_call, run_call
--- a/packages/instance/fulmarward/requests/_admit.py
+++ b/packages/instance/fulmarward/requests/_admit.py
@@ -1,4 +1,4 @@
-"""Whether and when an accepted request may go to a target."""
+"""Admission control: decides whether and when an accepted request is dispatched."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,7 +10,7 @@
 from fulmarward.admission import Pool, find_pool
 from fulmarward.answers import Answer
 from fulmarward.observability import log_event
-from fulmarward.requests._route import list_candidates, list_engines
+from fulmarward.requests._route import list_engine_views, list_whole_model_views
 from fulmarward.requests._work import Work
 from fulmarward.shares import find_bucket
 from fulmarward_core.admission import (
@@ -32,40 +32,40 @@
 from fulmarward_core.results import Failure, ResultCode, make_failure
 from fulmarward_core.routing import PoolSpeed, measure_pool
 
-#: Seconds between two looks at what waits and at targets that may be set aside.
-REVIEW_EVERY_S = 0.1
+#: Seconds between reviews of the queues and of slow or failing targets.
+REVIEW_INTERVAL_S = 0.1
 
-#: Least weight of a team in the order; one that was sold nothing has this.
-LEAST_WEIGHT = 1e-3
+#: Minimum weight of a team in the fair queue, for teams without a purchased share.
+MIN_TEAM_WEIGHT = 1e-3
 
-#: When a request that was dropped from the queue may come back, in seconds.
+#: Retry delay, in seconds, sent to a request that was dropped from the queue.
 DROPPED_RETRY_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Case:
-    """A request, the pool it goes to and what is known of both."""
+class _PendingRequest:
+    """A request in admission, with its pool, capacity estimate and ticket."""
 
     work: Work
     pool: Pool
     speed: PoolSpeed
     ticket: Ticket
     outputs: Outputs
-    #: The answer as it grows, to settle what was really used.
+    #: The answer under construction, from which the tokens used are counted.
     answer: Answer | None
 
 
-def _measure(instance: Instance, work: Work) -> PoolSpeed:
-    """Return what the request's pool carries: whole engines, else chains of stages.
+def _estimate_capacity(instance: Instance, work: Work) -> PoolSpeed:
+    """Return the capacity of the request's pool: whole-model engines, else chains.
 
-    A chain takes a slot on each of its stages, so stages count by their layers; their
-    limits are not measured and count as the slots.
+    A chain takes a slot on each of its stages, so each stage counts by its share of
+    the layers. The limits of stages are not measured, so their slots are used.
     """
     now = instance.read_clock()
-    whole = list_candidates(instance, work)
+    whole = list_whole_model_views(instance, work)
     if whole:
         return measure_pool(whole, now=now)
-    stages = list_engines(instance, work)
+    stages = list_engine_views(instance, work)
     layers = work.snapshot.declaration.models[work.pipeline.model].layers
     held = sum(view.target.layers[1] - view.target.layers[0] for view in stages)
     speed = measure_pool(stages, now=now)
@@ -73,8 +73,8 @@
     return replace(speed, places=chains, capacity=chains)
 
 
-def _make_case(instance: Instance, work: Work) -> _Case:
-    speed = _measure(instance, work)
+def _make_pending(instance: Instance, work: Work) -> _PendingRequest:
+    speed = _estimate_capacity(instance, work)
     outputs = instance.admission.outputs.setdefault(work.pipeline_name, Outputs())
     expected = expect_output(outputs, work.max_tokens)
     prompt = len(work.prompt.split())
@@ -86,7 +86,7 @@
         service_s=prompt * speed.prefill_s + expected * speed.token_s,
         deadline=work.deadline,
     )
-    return _Case(
+    return _PendingRequest(
         work=work,
         pool=find_pool(instance.admission, work.pipeline.model),
         speed=speed,
@@ -96,45 +96,47 @@
     )
 
 
-def _decide(instance: Instance, case: _Case) -> Ticket | Refusal:
-    work, now = case.work, instance.read_clock()
+def _admit_or_refuse(instance: Instance, pending: _PendingRequest) -> Ticket | Refusal:
+    work, now = pending.work, instance.read_clock()
     team = work.snapshot.declaration.teams[work.team]
-    count_demand(instance.admission.demand, work.team, case.ticket.tokens)
+    count_demand(instance.admission.demand, work.team, pending.ticket.tokens)
     result = admit_ticket(
-        case.pool.queue,
+        pending.pool.queue,
         find_bucket(instance, work.team, team),
-        case.ticket,
-        weight=max(LEAST_WEIGHT, team.tokens_per_s),
-        running=len(case.pool.running),
-        places=case.speed.capacity,
+        pending.ticket,
+        weight=max(MIN_TEAM_WEIGHT, team.tokens_per_s),
+        running=len(pending.pool.running),
+        places=pending.speed.capacity,
         now=now,
         generator=instance.generator,
     )
     if isinstance(result, Refusal) and result.retry_after_s is None:
-        doubt_output(case.outputs)
+        doubt_output(pending.outputs)
     return result
 
 
-def _log(instance: Instance, case: _Case, result: Ticket | Refusal) -> None:
+def _log_decision(
+    instance: Instance, pending: _PendingRequest, result: Ticket | Refusal
+) -> None:
     is_refused = isinstance(result, Refusal)
-    reason = result.code.name.lower() if is_refused else _name_capacity(result)
+    reason = result.code.name.lower() if is_refused else _describe_share(result)
     instance.metrics.decisions.inc({"kind": "admit", "reason": reason})
     log_event(
         "admit",
-        request=case.work.request,
-        team=case.work.team,
-        pipeline=case.work.pipeline_name,
+        request=pending.work.request,
+        team=pending.work.team,
+        pipeline=pending.work.pipeline_name,
         reason=reason,
-        tokens=round(case.ticket.tokens),
-        service_s=round(case.ticket.service_s, 3),
-        waiting=case.pool.queue.length,
-        running=len(case.pool.running),
-        places=round(case.speed.capacity, 1),
+        tokens=round(pending.ticket.tokens),
+        service_s=round(pending.ticket.service_s, 3),
+        waiting=pending.pool.queue.length,
+        running=len(pending.pool.running),
+        places=round(pending.speed.capacity, 1),
         retry_after_s=result.retry_after_s if is_refused else None,
     )
 
 
-def _name_capacity(ticket: Ticket) -> str:
+def _describe_share(ticket: Ticket) -> str:
     return "lent" if ticket.is_lent else "sold"
 
 
@@ -144,10 +146,10 @@
     return make_failure(refusal.code, retry_after_ms=after_ms)
 
 
-def _start_places(instance: Instance, work: Work) -> None:
-    """Give the free places of a pool to those whose turn it is."""
+def _start_waiting(instance: Instance, work: Work) -> None:
+    """Start the next queued requests of a pool while it has free places."""
     pool = find_pool(instance.admission, work.pipeline.model)
-    places = _measure(instance, work).places
+    places = _estimate_capacity(instance, work).places
     while ticket := pop_next(pool.queue, running=len(pool.running), places=places):
         note_wait(pool.queue, ticket, now=instance.read_clock())
         pool.running[ticket.request] = ticket
@@ -156,8 +158,8 @@
             turn.set_result(None)
 
 
-def _drop_late(instance: Instance, pool: Pool) -> None:
-    """Refuse at once what waits and can no longer make its deadline."""
+def _refuse_expired(instance: Instance, pool: Pool) -> None:
+    """Refuse queued requests that can no longer meet their deadline."""
     now = instance.read_clock()
     for ticket in drop_late(pool.queue, now=now):
         note_wait(pool.queue, ticket, now=now)
@@ -171,61 +173,63 @@
             turn.set_result(refusal)
 
 
-def _settle(instance: Instance, ticket: Ticket, used: float) -> None:
+def _settle_tokens(instance: Instance, ticket: Ticket, used: float) -> None:
     bucket = instance.admission.buckets.get(ticket.team)
     if bucket is not None and not ticket.is_lent:
         now = instance.read_clock()
         settle_tokens(bucket, reserved=ticket.tokens, used=used, now=now)
 
 
-def _count_used(case: _Case, ticket: Ticket) -> float:
-    """Return the tokens that a request used; nothing when it was not run."""
-    answer = case.answer
+def _count_used_tokens(pending: _PendingRequest, ticket: Ticket) -> float:
+    """Return the number of tokens that a request used, 0 if it did not run."""
+    answer = pending.answer
     if answer is None:
         return ticket.tokens
     if not answer.locator:
         return 0.0
-    return len(case.work.prompt.split()) + len(answer.texts)
+    return len(pending.work.prompt.split()) + len(answer.texts)
 
 
-def _leave(instance: Instance, case: _Case, ticket: Ticket) -> None:
-    """Free the place, settle the share and start the next."""
-    pool = case.pool
+def _release(instance: Instance, pending: _PendingRequest, ticket: Ticket) -> None:
+    """Free the place, settle the team's token bucket and start queued requests."""
+    pool = pending.pool
     pool.turns.pop(ticket.request, None)
     has_run = pool.running.pop(ticket.request, None) is not None
     remove_ticket(pool.queue, ticket)
-    _settle(instance, ticket, _count_used(case, ticket) if has_run else 0.0)
-    if case.answer is not None and case.answer.end:
-        note_output(case.outputs, len(case.answer.texts))
-    _start_places(instance, case.work)
+    _settle_tokens(
+        instance, ticket, _count_used_tokens(pending, ticket) if has_run else 0.0
+    )
+    if pending.answer is not None and pending.answer.end:
+        note_output(pending.outputs, len(pending.answer.texts))
+    _start_waiting(instance, pending.work)
 
 
 @asynccontextmanager
 async def admit_work(instance: Instance, work: Work) -> AsyncIterator[Failure | None]:
-    """Wait for the request's turn and hold its place; gives the refusal, if any."""
-    case = _make_case(instance, work)
-    if case.speed.capacity <= 0:
-        # No engine takes work now: choosing a target says so at once.
+    """Wait in the queue and hold a place; yields the refusal, if there is one."""
+    pending = _make_pending(instance, work)
+    if pending.speed.capacity <= 0:
+        # No engine accepts work, which target selection reports without a wait.
         yield None
         return
-    result = _decide(instance, case)
-    _log(instance, case, result)
+    result = _admit_or_refuse(instance, pending)
+    _log_decision(instance, pending, result)
     if isinstance(result, Refusal):
         yield _make_failure(result)
         return
     turn = asyncio.get_running_loop().create_future()
-    case.pool.turns[result.request] = turn
+    pending.pool.turns[result.request] = turn
     try:
-        _start_places(instance, work)
+        _start_waiting(instance, work)
         refusal = await turn
         if refusal is not None:
-            _log(instance, case, refusal)
+            _log_decision(instance, pending, refusal)
         yield None if refusal is None else _make_failure(refusal)
     finally:
-        _leave(instance, case, result)
+        _release(instance, pending, result)
 
 
-def _review_targets(instance: Instance, model: str) -> None:
+def _set_targets_aside(instance: Instance, model: str) -> None:
     views = {
         name: view
         for name, view in instance.views.items()
@@ -244,9 +248,9 @@
 
 
 async def run_admission(instance: Instance) -> None:
-    """Drop what is late, and set targets aside, again and again."""
+    """Periodically refuse expired requests and set aside slow or failing targets."""
     while True:
         for model, pool in list(instance.admission.pools.items()):
-            _drop_late(instance, pool)
-            _review_targets(instance, model)
-        await asyncio.sleep(REVIEW_EVERY_S)
+            _refuse_expired(instance, pool)
+            _set_targets_aside(instance, model)
+        await asyncio.sleep(REVIEW_INTERVAL_S)
--- a/packages/instance/fulmarward/requests/_attempt.py
+++ b/packages/instance/fulmarward/requests/_attempt.py
@@ -12,8 +12,8 @@
     DIFFERS,
     DIFFERS_DETAIL,
     AttemptProgress,
-    locate_answer,
-    take_texts,
+    append_texts,
+    publish_locator,
 )
 from fulmarward.requests._work import Work
 from fulmarward.targets import (
@@ -31,38 +31,37 @@
 from fulmarward_core.routing import TargetView
 from fulmarward_core.streams import Stage
 
-#: Times in a row that a connection is made anew without one event gained, by whether
-#: the work is idempotent. Load: any; harm: a dead, frozen or looping engine holds its
-#: callers; reason: another engine can run idempotent work again, other work is lost
-#: with its stream and worth some seconds more. Progress starts the count again.
+#: Maximum consecutive reconnections without a new event, by whether the request is
+#: idempotent. The limit keeps a dead, frozen or looping engine from holding its
+#: callers. Idempotent work can run on another engine; other work is lost with its
+#: stream, so it gets some seconds more. Progress resets the count.
 MOST_REATTACHES = {True: 2, False: 4}
 
-#: Seconds that another attempt waits until the old stream is closed. Harm: a frozen
-#: engine's callers wait for it twice; reason: the closing goes on by itself, and late
-#: output of the old attempt is not read.
-CLOSE_S = 0.5
+#: Seconds that the next attempt waits for the old stream to be closed. A longer wait
+#: would make callers of a frozen engine wait twice. The close continues in the
+#: background, and late output of the old attempt is not read.
+CLOSE_WAIT_S = 0.5
 
-#: Seconds a connection has to hold without an event before its loss counts for
-#: nothing: a long queue at the engine is silent and is no fault.
-SILENT_S = 1.5
+#: Seconds after which the loss of a connection without events is not counted as a
+#: failure: a stream that waits in a long queue at the engine sends nothing.
+STABLE_CONNECTION_S = 1.5
 
-#: Seconds before the second of them in a row; doubled for each further one. Harm: all
-#: tries are spent while a cut lasts; reason: 0.35 s in all, beside a caller's first
-#: token within 1.6 s. An engine where nothing listens has lost its streams and gets
-#: no pause.
+#: Seconds before the second consecutive reconnection, doubled for each further one.
+#: Without a pause, all reconnections would be used up during one network cut. The
+#: pauses add up to 0.35 s, against a first token within 1.6 s. There is no pause for
+#: an engine whose port is closed, since it has lost its streams.
 REATTACH_PAUSE_S = 0.05
 
-#: When a caller may come back after a refusal, in milliseconds.
+#: Retry delay, in milliseconds, sent to the caller with a refusal.
 RETRY_AFTER_MS = 1_000
 
 
 @dataclass(kw_only=True)
 class _Attempt(AttemptProgress):
-    """The state of one attempt."""
+    """The state of one attempt on a target with the whole model."""
 
-    #: The target that runs it.
     view: TargetView
-    #: When it may first have been ordered, seconds on the steady clock.
+    #: Earliest time at which it can have been sent, in seconds on the monotonic clock.
     ordered_at: float
 
 
@@ -88,7 +87,7 @@
 async def run_attempt(
     instance: Instance, work: Work, answer: Answer, number: int, view: TargetView
 ) -> Failure | None:
-    """Run the request on one target; returns why it did not end well."""
+    """Run the request on one target; return the failure, if any."""
     attempt = _make_attempt(number, view, instance.read_clock())
     was_dispatched, answer.is_dispatched = answer.is_dispatched, True
     try:
@@ -111,7 +110,7 @@
 async def attach_attempt(
     instance: Instance, work: Work, answer: Answer, number: int, view: TargetView
 ) -> Failure | None:
-    """Read an attempt that another instance began, from its first event on."""
+    """Read an attempt that another instance started, from its first event."""
     attempt = _make_attempt(number, view, float("-inf"))
     answer.is_dispatched = True
     try:
@@ -134,9 +133,9 @@
 def cancel_later(
     instance: Instance, work: Work, answer: Answer, attempt: int, view: TargetView
 ) -> None:
-    """Tell the engine to stop a stream that nobody waits for any more.
+    """Cancel, in the background, a stream that no caller waits for.
 
-    An instance that stops leaves what its callers can come back for to run on.
+    An instance that shuts down leaves streams running that callers can resume.
     """
     if instance.lifecycle.state == "stopped" and answer.may_return:
         return
@@ -158,7 +157,7 @@
         attempt.view.target.address,
         request=work.request,
         attempt=attempt.number,
-        after=attempt.seen,
+        after=attempt.received,
         reader=name_reader(instance),
         connect_s=instance.settings.limits.connect_ms / 1000,
     )
@@ -171,51 +170,53 @@
     attempt: _Attempt,
     stream: EngineStream | StreamUnknown | StreamBroken,
 ) -> Failure | None:
-    """Copy events into the answer; attach again when the connection is lost."""
-    failed = 0
-    most = MOST_REATTACHES[work.idempotent]
-    while failed <= most and not isinstance(stream, StreamUnknown):
-        seen, began = attempt.seen, instance.read_clock()
+    """Copy events into the answer, reconnecting when the connection is lost."""
+    failures = 0
+    max_reattaches = MOST_REATTACHES[work.idempotent]
+    while failures <= max_reattaches and not isinstance(stream, StreamUnknown):
+        received, began = attempt.received, instance.read_clock()
         if isinstance(stream, EngineStream):
-            locate_answer(instance, work, answer, attempt)
+            publish_locator(instance, work, answer, attempt)
             async for events in read_events(stream):
                 texts = [event.text for event in events if not event.end]
                 end = events[-1].end
-                outcome = take_texts(instance, work, answer, attempt, texts, end)
+                outcome = append_texts(instance, work, answer, attempt, texts, end)
                 if outcome is not None:
-                    return await _end(instance, work, answer, attempt, outcome)
+                    return await _finish_attempt(
+                        instance, work, answer, attempt, outcome
+                    )
             instance.metrics.dropped.add({"reason": "not_ours"}, stream.dropped)
             held_s = instance.read_clock() - began
-            if attempt.seen > seen or held_s >= SILENT_S:
-                failed = 0
-        if failed and not (isinstance(stream, StreamBroken) and stream.is_refused):
-            await asyncio.sleep(REATTACH_PAUSE_S * 2 ** (failed - 1))
-        failed += 1
+            if attempt.received > received or held_s >= STABLE_CONNECTION_S:
+                failures = 0
+        if failures and not (isinstance(stream, StreamBroken) and stream.is_refused):
+            await asyncio.sleep(REATTACH_PAUSE_S * 2 ** (failures - 1))
+        failures += 1
         stream = await _reattach(instance, work, attempt)
         log_event(
             "reattach",
             request=work.request,
             attempt=attempt.number,
             target=attempt.view.name,
-            after=attempt.seen,
+            after=attempt.received,
             outcome=type(stream).__name__,
         )
     return await _give_up(instance, work, answer, attempt)
 
 
-async def _end(
+async def _finish_attempt(
     instance: Instance, work: Work, answer: Answer, attempt: _Attempt, end: str
 ) -> Failure | None:
     if end in ("stop", "length"):
         answer.finish(end)
         return None
     if end == DIFFERS:
-        await _close(instance, work, attempt)
+        await _close_stream(instance, work, attempt)
         return make_failure(ResultCode.STREAM_LOST, DIFFERS_DETAIL)
     return make_failure(ResultCode.TARGET_FAILED, f"The stream ended as {end}.")
 
 
-async def _close(
+async def _close_stream(
     instance: Instance, work: Work, attempt: _Attempt
 ) -> str | StreamBroken:
     return await cancel_stream(
@@ -230,15 +231,15 @@
 async def _give_up(
     instance: Instance, work: Work, answer: Answer, attempt: _Attempt
 ) -> Failure:
-    """Close the lost stream, and say what is known of it."""
-    closing = asyncio.create_task(_close(instance, work, attempt))
+    """Close the lost stream and return the failure that its state implies."""
+    closing = asyncio.create_task(_close_stream(instance, work, attempt))
     instance.keep_closing(closing)
     if work.idempotent:
-        await asyncio.wait([closing], timeout=CLOSE_S)
+        await asyncio.wait([closing], timeout=CLOSE_WAIT_S)
     else:
         await asyncio.wait([closing])
     state = closing.result() if closing.done() else StreamBroken(detail="no answer")
-    has_begun = attempt.seen > 0 or attempt.is_located
+    has_begun = attempt.received > 0 or attempt.is_located
     if state == "closed_before_start" and not has_begun:
         return make_failure(ResultCode.TARGET_REFUSED, retry_after_ms=RETRY_AFTER_MS)
     if isinstance(state, StreamBroken) and not has_begun:
--- a/packages/instance/fulmarward/requests/_budget.py
+++ b/packages/instance/fulmarward/requests/_budget.py
@@ -1,4 +1,4 @@
-"""The budget of retries that the requests of one pool share."""
+"""The retry budget shared by the requests of one pool."""
 
 from fulmarward._instance import Instance
 from fulmarward.admission import find_pool
@@ -7,13 +7,13 @@
 from fulmarward_core.retries import note_first_try, spend_retry
 
 
-def note_try(instance: Instance, work: Work) -> None:
-    """Count a first try, which earns a part of a retry."""
+def record_first_try(instance: Instance, work: Work) -> None:
+    """Count a first try, which adds a fraction of a retry to the budget."""
     note_first_try(find_pool(instance.admission, work.pipeline.model).budget)
 
 
 def take_retry(instance: Instance, work: Work) -> bool:
-    """Return whether the budget allows one more try of a request."""
+    """Spend one retry from the budget; return whether it allows one."""
     budget = find_pool(instance.admission, work.pipeline.model).budget
     if spend_retry(budget):
         return True
--- a/packages/instance/fulmarward/requests/_call.py
+++ b/packages/instance/fulmarward/requests/_call.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: choosing a replica, retrying what may be."""
+"""Calls of plain services: choice of a replica, and retries where they are safe."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -7,7 +7,12 @@
 from fulmarward._instance import Instance
 from fulmarward.answers import Answer
 from fulmarward.observability import log_event
-from fulmarward.requests._execute import AVOID_S, MOST_ATTEMPTS, Confirm, confirm_always
+from fulmarward.requests._execute import (
+    AVOID_TARGET_S,
+    MAX_ATTEMPTS,
+    Confirm,
+    confirm_always,
+)
 from fulmarward.targets import (
     ServiceAnswer,
     ServiceOrder,
@@ -20,7 +25,7 @@
 from fulmarward_core.results import Failure, ResultCode, make_failure
 from fulmarward_core.routing import Choice, TargetView, choose_target
 
-#: When a caller may come back after a refusal, in milliseconds.
+#: Retry delay, in milliseconds, sent to the caller with a refusal.
 RETRY_AFTER_MS = 1_000
 
 
@@ -28,27 +33,26 @@
 class Call:
     """One accepted call of a plain service."""
 
-    #: Its id.
+    #: Request id.
     request: str
-    #: Name of the team and of the service.
+    #: Names of the team and of the service.
     team: str
     service: str
-    #: HTTP method, path below the service and query.
+    #: HTTP method, path below the service and query string.
     method: str
     path: str
     query: str
-    #: The body and its type.
     body: bytes
     content_type: str
     #: Whether it may be executed more than once.
     idempotent: bool
-    #: When the answer has to be there, seconds on the steady clock.
+    #: When the answer is due, in seconds on the monotonic clock.
     deadline: float
 
 
 @contextmanager
 def hold_call(instance: Instance, request: str, team: str) -> Iterator[None]:
-    """Count a call among the open requests, which a graceful stop waits for."""
+    """Register a call as an open request, for which a graceful shutdown waits."""
     answer = instance.answers[request] = Answer(request=request, team=team)
     try:
         yield
@@ -85,9 +89,9 @@
 async def run_call(
     instance: Instance, call: Call, confirm: Confirm = confirm_always
 ) -> ResultCopy | Failure:
-    """Execute a call; one that is idempotent on up to three replicas."""
+    """Execute a call, on up to three replicas if it is idempotent."""
     failure = None
-    for attempt in range(1, MOST_ATTEMPTS + 1):
+    for attempt in range(1, MAX_ATTEMPTS + 1):
         choice = _choose(instance, call, attempt)
         if choice is None:
             none = make_failure(ResultCode.NO_TARGET, retry_after_ms=RETRY_AFTER_MS)
@@ -138,7 +142,7 @@
             body=outcome.body,
             content_type=outcome.content_type,
         )
-    view.avoided_until = instance.read_clock() + AVOID_S
+    view.avoided_until = instance.read_clock() + AVOID_TARGET_S
     if isinstance(outcome, ServiceRefused):
         return make_failure(
             ResultCode.TARGET_REFUSED, outcome.detail, retry_after_ms=RETRY_AFTER_MS
@@ -149,6 +153,6 @@
 def _may_retry(call: Call, failure: Failure) -> bool:
     """Return whether another replica may run the call.
 
-    Guards against a second execution of a call whose reply was lost.
+    Prevents a second execution of a non-idempotent call whose reply was lost.
     """
     return failure.code is ResultCode.TARGET_REFUSED or call.idempotent
--- a/packages/instance/fulmarward/requests/_chain.py
+++ b/packages/instance/fulmarward/requests/_chain.py
@@ -5,14 +5,14 @@
 from fulmarward._instance import Instance
 from fulmarward.answers import Answer
 from fulmarward.observability import log_event
-from fulmarward.requests._chain_calls import make_lost, make_run
+from fulmarward.requests._chain_calls import make_chain_run, make_stage_lost
 from fulmarward.requests._chain_choice import list_chain_offers, list_stage_views
 from fulmarward.requests._chain_end import close_chain_later, give_up_chain
 from fulmarward.requests._chain_progress import (
     ChainProgress,
     count_stages,
-    discount_stages,
-    hold_stages,
+    counted_stages,
+    uncount_stages,
 )
 from fulmarward.requests._drive import (
     ChainRun,
@@ -22,7 +22,7 @@
 from fulmarward.requests._move import move_stage
 from fulmarward.requests._progress import (
     DIFFERS,
-    take_texts,
+    append_texts,
 )
 from fulmarward.requests._work import Work
 from fulmarward.targets import (
@@ -37,13 +37,14 @@
 from fulmarward_core.results import Failure, ResultCode, make_failure
 from fulmarward_core.streams import Stage
 
-#: A position past any other: asks a stage for nothing, to claim the attempt only.
-LAST_STEP = 2**31
+#: A position beyond all others. Reading after it returns no steps, only claims the
+#: attempt.
+BEYOND_LAST_POSITION = 2**31
 
 
-#: Tokens between two looks whether a stage should move: at some milliseconds a token
-#: a leaving or slow target is noticed within a second, and a look costs all offers.
-MOVE_LOOK_TOKENS = 32
+#: Tokens between checks whether to move a stage. At some milliseconds per token, a
+#: leaving or slow target is noticed within a second. Each check computes all offers.
+MOVE_CHECK_TOKENS = 32
 
 
 async def run_chain(
@@ -54,7 +55,7 @@
     chain: Chain,
     version: str,
 ) -> Failure | None:
-    """Run the request on a chain; returns why it did not end well."""
+    """Run the request on a chain; return the failure, if any."""
     attempt = ChainProgress(number=number, stages=chain.stages)
     return await _drive(instance, work, answer, attempt, version)
 
@@ -66,16 +67,18 @@
     number: int,
     stages: tuple[Stage, ...],
 ) -> Failure | None:
-    """Go on with a chain that another instance drove, from its first token on.
+    """Take over a chain that another instance drove, reading from its first token.
 
-    Guards against a first step that runs twice: a stage that was restarted takes
-    position 0 for new. So position 0 is sent only by the driver that gave the attempt
-    its number. Another goes on only where the last stage has given a token, which
-    proves that position 0 ran everywhere, and no locator is out before.
+    Prevents a first step that runs twice: a restarted stage accepts position 0 as new,
+    so only the driver that numbered the attempt sends position 0. Another driver
+    continues only if the last stage has produced a token, which proves that position
+    0 ran at all stages. No locator is published before that.
     """
     layers = work.snapshot.declaration.models[work.pipeline.model].layers
     if not covers_layers(stages, layers=layers):
-        return make_failure(ResultCode.STREAM_LOST, "The model has other layers now.")
+        return make_failure(
+            ResultCode.STREAM_LOST, "The layers of the model have changed."
+        )
     term = int(instance.read_wall_clock() * 1000)
     attempt = ChainProgress(number=number, stages=stages, term=term)
     return await _drive(instance, work, answer, attempt, None)
@@ -88,13 +91,13 @@
     attempt: ChainProgress,
     version: str | None,
 ) -> Failure | None:
-    """Drive a new attempt of `version`, or one that has begun (`None`), to its end."""
+    """Drive an attempt to its end; `version` is `None` if it was started before."""
     is_new = version is not None
     was_dispatched, answer.is_dispatched = answer.is_dispatched, True
-    run = make_run(instance, work, attempt, version)
+    run = make_chain_run(instance, work, attempt, version)
     run.may_have_run = not is_new
     try:
-        with hold_stages(instance, attempt):
+        with counted_stages(instance, attempt):
             lost = await _run_tokens(instance, work, answer, attempt, run, is_new)
     except asyncio.CancelledError:
         close_chain_later(instance, work, answer, attempt)
@@ -115,27 +118,27 @@
     run: ChainRun,
     is_new: bool,
 ) -> StageLost | None:
-    """Run token after token until the last stage says that the answer ends."""
+    """Run token after token until the last stage reports the end of the answer."""
     done = None if is_new else await _read_tokens(instance, work, answer, attempt, run)
     while not isinstance(done, StageLost):
         if done is not None and done.end:
             answer.finish(done.end)
             return None
-        if attempt.seen and attempt.seen % MOVE_LOOK_TOKENS == 0:
-            lost = await _consider_move(instance, work, attempt, run)
+        if attempt.received and attempt.received % MOVE_CHECK_TOKENS == 0:
+            lost = await _move_stage_if_needed(instance, work, attempt, run)
             if lost is not None:
                 return lost
         value = done.output if done else None
-        done = await run_position(run, attempt.seen, value)
+        done = await run_position(run, attempt.received, value)
         if isinstance(done, StepDone):
-            done = _take_steps(instance, work, answer, attempt, run, (done,))
+            done = _append_steps(instance, work, answer, attempt, run, (done,))
     return done
 
 
-async def _consider_move(
+async def _move_stage_if_needed(
     instance: Instance, work: Work, attempt: ChainProgress, run: ChainRun
 ) -> StageLost | None:
-    """Move one stage's cache off a leaving or slow target, between two tokens."""
+    """Move one stage's cache away from a leaving or slow target."""
     views = {view.name: view for view in list_stage_views(instance, work)}
     leaving = {name for name, view in views.items() if view.leaving}
     offers = list_chain_offers(instance, work, list(views.values()))
@@ -150,7 +153,7 @@
         "move_stage",
         request=work.request,
         attempt=attempt.number,
-        position=attempt.seen,
+        position=attempt.received,
         layers=stage.layers,
         source=stage.target,
         chosen=offer.target,
@@ -160,11 +163,11 @@
     if moved is None:
         return None
     if isinstance(moved, StreamBroken):
-        return make_lost(run, stage, moved.detail)
+        return make_stage_lost(run, stage, moved.detail)
     stages = tuple(moved if item == stage else item for item in run.stages)
     run.stages = attempt.stages = stages
     attempt.is_located = False
-    discount_stages(attempt)
+    uncount_stages(attempt)
     count_stages(instance, attempt)
     return None
 
@@ -176,18 +179,20 @@
     attempt: ChainProgress,
     run: ChainRun,
 ) -> StepDone | StageLost:
-    """Claim the attempt at all stages; read the tokens that the last has given."""
+    """Claim the attempt at all stages and read the tokens of the last one."""
     last = run.stages[-1]
-    claims = [run.calls.read_steps(stage, LAST_STEP) for stage in run.stages[:-1]]
+    claims = [
+        run.calls.read_steps(stage, BEYOND_LAST_POSITION) for stage in run.stages[:-1]
+    ]
     found, *_ = await asyncio.gather(run.calls.read_steps(last, -1), *claims)
     if isinstance(found, StreamBroken):
         found = await run.calls.read_steps(last, -1)
     if not isinstance(found, tuple) or not found:
-        return make_lost(run, last, "the last stage's cache is gone")
-    return _take_steps(instance, work, answer, attempt, run, found)
+        return make_stage_lost(run, last, "the last stage has no cache")
+    return _append_steps(instance, work, answer, attempt, run, found)
 
 
-def _take_steps(
+def _append_steps(
     instance: Instance,
     work: Work,
     answer: Answer,
@@ -195,10 +200,10 @@
     run: ChainRun,
     steps: tuple[StepDone, ...],
 ) -> StepDone | StageLost:
-    """Append the last stage's steps to the answer; returns the newest."""
+    """Append the last stage's steps to the answer; return the newest step."""
     texts = [step.text for step in steps if step.text]
     end = steps[-1].end
-    outcome = take_texts(instance, work, answer, attempt, texts, end)
+    outcome = append_texts(instance, work, answer, attempt, texts, end)
     if outcome == DIFFERS:
-        return make_lost(run, run.stages[-1], DIFFERS)
+        return make_stage_lost(run, run.stages[-1], DIFFERS)
     return steps[-1]
--- a/packages/instance/fulmarward/requests/_chain_calls.py
+++ b/packages/instance/fulmarward/requests/_chain_calls.py
@@ -25,8 +25,8 @@
 from fulmarward_core.streams import Stage
 
 
-def make_lost(run: ChainRun, stage: Stage, detail: str) -> StageLost:
-    """Return the loss of a stage that may have run the token."""
+def make_stage_lost(run: ChainRun, stage: Stage, detail: str) -> StageLost:
+    """Return the `StageLost` of a stage that may have run the step."""
     return StageLost(
         stage=stage,
         detail=detail,
@@ -36,10 +36,10 @@
     )
 
 
-def make_run(
+def make_chain_run(
     instance: Instance, work: Work, attempt: ChainProgress, version: str | None
 ) -> ChainRun:
-    """Return what drives the tokens of an attempt through its stages."""
+    """Return the run that drives an attempt's tokens through its stages."""
 
     def make_order(stage: Stage, position: int, value: object) -> StepOrder:
         first, end = stage.layers
@@ -74,7 +74,7 @@
     ) -> StepDone | StepRefused | StreamBroken:
         address = find_address(instance, stage)
         if address is None:
-            return StepRefused(error="declared no more")
+            return StepRefused(error="the target is no longer declared")
         began = instance.read_clock()
         outcome = await run_step(instance.session, address, order)
         if isinstance(outcome, StepDone) and order.position > 0:
@@ -101,7 +101,7 @@
 
 
 def _measure_step(instance: Instance, stage: Stage, began: float) -> None:
-    """Note a step's time; position 0 is left out, since it reads the prompt."""
+    """Record a step's time. Not called for position 0, which processes the prompt."""
     declaration = instance.snapshot.declaration
     now = instance.read_clock()
     note_step(
--- a/packages/instance/fulmarward/requests/_chain_choice.py
+++ b/packages/instance/fulmarward/requests/_chain_choice.py
@@ -1,4 +1,4 @@
-"""Choosing the chain of an attempt, with a log line for the decision."""
+"""Chooses the chain of an attempt and logs the decision."""
 
 from fulmarward._instance import Instance
 from fulmarward.observability import log_event
@@ -15,9 +15,10 @@
 
 
 def list_stage_views(instance: Instance, work: Work) -> list[TargetView]:
-    """Return the views of the engines that hold a part of the work's model.
+    """Return the views of the engines that hold part of the request's model.
 
-    One that holds all of it runs whole requests, which cost a call each, not a token.
+    Engines with the whole model are left out: they run whole requests, which take one
+    call per request rather than one per token.
     """
     model = work.snapshot.declaration.models[work.pipeline.model]
     return [
@@ -39,21 +40,23 @@
 def choose_chain(
     instance: Instance, work: Work, attempt: int
 ) -> tuple[Chain, str] | None:
-    """Return the chain for an attempt and its version, with a log line.
+    """Choose the chain and the model version of an attempt, and log the choice.
 
-    Guards against stages of two versions in one chain during a rollout, whose tokens
-    would be neither's: each version has its chain, and the serving one goes first.
+    During a rollout, stages of two versions in one chain would give tokens of neither
+    version. So each version has its own chain, and the serving version is tried first.
     """
     model = work.snapshot.declaration.models[work.pipeline.model]
     views = list_stage_views(instance, work)
     others = [version for version in model.versions[::-1] if version != model.serving]
     for version in (model.serving, *others):
-        mine = [
+        same_version = [
             view
             for view in views
             if view.held is None or view.held.state.version == version
         ]
-        chain = find_chain(list_chain_offers(instance, work, mine), layers=model.layers)
+        chain = find_chain(
+            list_chain_offers(instance, work, same_version), layers=model.layers
+        )
         if chain is not None:
             break
     _log_choice(instance, work, attempt, chain, version, len(views))
@@ -63,7 +66,7 @@
 def list_chain_offers(
     instance: Instance, work: Work, views: list[TargetView]
 ) -> list[StageOffer]:
-    """Return what each view offers to a chain, with its expected costs."""
+    """Return the stage offers of the views, with their expected costs."""
     return list_offers(
         views,
         data_centre=instance.settings.data_centre,
--- a/packages/instance/fulmarward/requests/_chain_end.py
+++ b/packages/instance/fulmarward/requests/_chain_end.py
@@ -1,4 +1,4 @@
-"""Ending an attempt on a chain: freeing its caches, saying what is known."""
+"""Ends an attempt on a chain: frees its caches and determines the failure."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 from fulmarward_core.results import Failure, ResultCode, make_failure
 from fulmarward_core.streams import Stage
 
-#: How long a stage that was lost gets no new chain, in seconds.
+#: Seconds for which the target of a lost stage gets no new chain.
 AVOID_STAGE_S = 1.0
 
 
@@ -33,9 +33,9 @@
     attempt: ChainProgress,
     kept: tuple[Stage, ...] = (),
 ) -> list[str | StreamBroken]:
-    """Close an attempt on all its stages but the kept ones; return what each said.
+    """Close an attempt at all stages except `kept`; return the reply of each target.
 
-    A stage that a newer driver has claimed says `driven` and goes on.
+    A stage that a newer driver has claimed replies `driven` and stays open.
     """
     addresses = {
         find_address(instance, stage) for stage in attempt.stages if stage not in kept
@@ -61,9 +61,10 @@
     attempt: ChainProgress,
     kept: tuple[Stage, ...] = (),
 ) -> None:
-    """Free the caches of an attempt that is over or that nobody waits for.
+    """Free, in the background, the caches of a finished or abandoned attempt.
 
-    A whole answer stays readable at its last stage for a caller that was cut.
+    A complete answer stays readable at its last stage (`kept`), for a caller that
+    lost its connection.
     """
     if instance.lifecycle.state == "stopped" and answer.may_return:
         return
@@ -74,13 +75,13 @@
 async def give_up_chain(
     instance: Instance, work: Work, attempt: ChainProgress, lost: StageLost
 ) -> Failure:
-    """Close the attempt everywhere before any other begins; say what is known."""
+    """Close the attempt at all stages before a new one starts; return the failure."""
     log_event(
         "chain_lost",
         request=work.request,
         attempt=attempt.number,
         target=lost.stage.target,
-        position=attempt.seen,
+        position=attempt.received,
         reason=lost.detail,
     )
     view = instance.views.get(lost.stage.target)
@@ -88,7 +89,7 @@
         view.avoided_until = instance.read_clock() + AVOID_STAGE_S
     states = await close_chain(instance, work, attempt)
     if lost.is_closed or "driven" in states:
-        detail = "Another instance goes on with it."
+        detail = "Another instance continues the request."
         return make_failure(ResultCode.STREAM_LOST, detail)
     if lost.detail == DIFFERS:
         return make_failure(ResultCode.STREAM_LOST, DIFFERS_DETAIL)
--- a/packages/instance/fulmarward/requests/_chain_progress.py
+++ b/packages/instance/fulmarward/requests/_chain_progress.py
@@ -1,4 +1,4 @@
-"""The state of one attempt on a chain, and the targets that count it."""
+"""Progress of an attempt on a chain, and its count as work in flight."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -15,34 +15,34 @@
 class ChainProgress(AttemptProgress):
     """The state of one attempt on a chain."""
 
-    #: 0 for the driver that began it; for one that took it over, when it did so in
-    #: milliseconds since 1970. Guards against two drivers that both go on, of which
-    #: the older would close what the newer drives: stages refuse the older.
+    #: 0 for the driver that started the attempt; for one that took it over, the time of
+    #: the takeover in milliseconds since 1970. If two drivers continue one attempt,
+    #: stages refuse the older, which could otherwise close what the newer drives.
     term: int = 0
-    #: The views that count this chain as work in flight.
-    held: list[TargetView] = field(default_factory=list)
+    #: The views whose `in_flight` includes this chain.
+    counted_views: list[TargetView] = field(default_factory=list)
 
 
 @contextmanager
-def hold_stages(instance: Instance, attempt: ChainProgress) -> Iterator[None]:
+def counted_stages(instance: Instance, attempt: ChainProgress) -> Iterator[None]:
     """Count the chain as work in flight on each of its targets."""
     count_stages(instance, attempt)
     try:
         yield
     finally:
-        discount_stages(attempt)
+        uncount_stages(attempt)
 
 
 def count_stages(instance: Instance, attempt: ChainProgress) -> None:
     """Count the chain as work in flight on each target that has a view."""
     views = [instance.views.get(stage.target) for stage in attempt.stages]
-    attempt.held = [view for view in views if view is not None]
-    for view in attempt.held:
+    attempt.counted_views = [view for view in views if view is not None]
+    for view in attempt.counted_views:
         view.in_flight += 1
 
 
-def discount_stages(attempt: ChainProgress) -> None:
-    """Take back what `count_stages` counted."""
-    for view in attempt.held:
+def uncount_stages(attempt: ChainProgress) -> None:
+    """Undo `count_stages`."""
+    for view in attempt.counted_views:
         view.in_flight -= 1
-    attempt.held = []
+    attempt.counted_views = []
--- a/packages/instance/fulmarward/requests/_drive.py
+++ b/packages/instance/fulmarward/requests/_drive.py
@@ -1,11 +1,11 @@
-"""Driving a chain: one token after the other, each through all stages in order.
-
-The stages themselves keep the promise that a step runs once: each refuses a position
-that it has run, that does not come next, or whose attempt is closed. A driver
-therefore may send a step again whenever it does not know, and two drivers of one
-chain (the first was frozen and woke) cannot run anything twice: the later one is
-refused and reads back what the step gave. A driver that takes a chain over claims it
-at all stages with a newer term, after which the older one is refused for good.
+"""Drives a chain token by token, each token through all stages in order.
+
+The stages ensure that a step runs at most once: each refuses a position that it has
+run already, that is not the next one, or whose attempt is closed. A driver can
+therefore resend a step whose outcome it does not know. Two drivers of one chain (the
+first was suspended and resumed) cannot run a step twice: the later one is refused
+and reads the result of the step instead. A driver that takes over a chain claims it
+at all stages with a newer term, after which the older driver is always refused.
 """
 
 from collections.abc import Awaitable, Callable
@@ -20,28 +20,28 @@
 )
 from fulmarward_core.streams import Stage
 
-#: Times in a row that a stage gives no answer to a step nor to the question what the
-#: step gave. Harm: a dead stage holds its callers; reason: a lost reply is made up
-#: for by the first question, and the second covers a lost connection.
-MOST_SILENCES = 2
+#: Number of reads of a step's result that may go unanswered before the stage counts
+#: as lost. The limit keeps a dead stage from holding its callers. The first read
+#: recovers a lost reply, and the second covers a lost connection.
+MAX_UNANSWERED = 2
 
-#: Times that one step is sent. Harm: a stage that answers questions but never runs
-#: the step; reason: a step under way at a loaded stage is found within a few.
-MOST_SENDINGS = 10
+#: Maximum tries of one step. Guards against a stage that answers reads but never
+#: runs the step. A step that is running at a loaded stage is found within a few
+#: tries.
+MAX_SENDS = 10
 
-#: What a stage says when another driver goes on with the attempt, or has ended it.
-_TAKEN_OVER = ("closed", "superseded", "moved")
+#: Errors of a stage when another driver has taken over the attempt or closed it.
+_CLOSED_ERRORS = ("closed", "superseded", "moved")
 
 
 @dataclass(frozen=True, kw_only=True)
 class StageCalls:
-    """How stages are reached."""
+    """The calls to a stage, bound to one attempt."""
 
-    #: Runs a step.
     run_step: Callable[
         [Stage, StepOrder], Awaitable[StepDone | StepRefused | StreamBroken]
     ]
-    #: Reads what the steps after a position gave.
+    #: Reads the results of the steps after a position.
     read_steps: Callable[
         [Stage, int], Awaitable[tuple[StepDone, ...] | StreamUnknown | StreamBroken]
     ]
@@ -49,15 +49,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StageLost:
-    """The attempt cannot go on."""
+    """The attempt cannot continue, because a stage failed or refused."""
 
-    #: The stage that is at fault.
+    #: The stage that failed.
     stage: Stage
-    #: What was seen.
     detail: str
     #: Whether a step of this attempt may have run anywhere.
     may_have_run: bool
-    #: Whether another driver goes on with the attempt or closed it.
+    #: Whether another driver has taken over the attempt or closed it.
     is_closed: bool
     #: Whether no connection to the stage could be made.
     is_unreachable: bool
@@ -67,11 +66,10 @@
 class ChainRun:
     """One attempt on a chain."""
 
-    #: Where it runs; changes when a cache is moved.
+    #: The stages of the chain; changes when a cache is moved.
     stages: tuple[Stage, ...]
-    #: How the stages are reached.
     calls: StageCalls
-    #: Makes the order of a step from its stage, position and input.
+    #: Builds a step's message from its stage, position and input.
     make_order: Callable[[Stage, int, object], StepOrder]
     #: Whether a step of this attempt may have run anywhere.
     may_have_run: bool = False
@@ -80,7 +78,7 @@
 async def run_position(
     run: ChainRun, position: int, value: object
 ) -> StepDone | StageLost:
-    """Run one token through all stages; returns what the last one gave."""
+    """Run one token through all stages; return the result of the last one."""
     for stage in run.stages:
         done = await _run_stage(run, stage, position, value)
         if isinstance(done, StageLost):
@@ -94,40 +92,40 @@
     run: ChainRun, stage: Stage, position: int, value: object
 ) -> StepDone | StageLost:
     order = run.make_order(stage, position, value)
-    silences = 0
+    unanswered = 0
     may_send = True
-    for _ in range(MOST_SENDINGS):
+    for _ in range(MAX_SENDS):
         if may_send:
             outcome = await run.calls.run_step(stage, order)
         if isinstance(outcome, StepDone):
             return outcome
         if isinstance(outcome, StepRefused) and outcome.error != "seen":
             if not outcome.is_unreachable:
-                return _lose(run, stage, outcome)
+                return _make_stage_lost(run, stage, outcome)
         else:
             run.may_have_run = True
-            # A stage that was restarted takes position 0 for new: what may have
-            # arrived once is only asked for, and never sent again.
+            # A restarted stage accepts position 0 as new, so a first step that may
+            # have arrived is only read, never resent.
             may_send = position > 0
-        found = await read_back(run, stage, position)
+        found = await read_step_result(run, stage, position)
         if isinstance(found, StepDone):
             return found
         if isinstance(found, StreamUnknown):
-            return _lose(run, stage, StepRefused(error="no_cache"))
+            return _make_stage_lost(run, stage, StepRefused(error="no_cache"))
         if isinstance(found, StreamBroken):
-            silences += 1
-        if silences >= MOST_SILENCES:
+            unanswered += 1
+        if unanswered >= MAX_UNANSWERED:
             break
-    return _lose(run, stage, outcome)
+    return _make_stage_lost(run, stage, outcome)
 
 
-async def read_back(
+async def read_step_result(
     run: ChainRun, stage: Stage, position: int
 ) -> StepDone | StreamUnknown | StreamBroken | None:
-    """Return what a step gave whose reply was lost, or `None` if it did not run.
+    """Return the result of a step whose reply was lost, or `None` if it did not run.
 
-    Guards against running a step twice after a lost reply. A stage that knows no
-    cache is lost even at position 0: it may have run the step and been restarted.
+    Prevents running a step twice after a lost reply. A stage without the cache counts
+    as lost even at position 0: it may have run the step and been restarted.
     """
     found = await run.calls.read_steps(stage, position - 1)
     if isinstance(found, tuple):
@@ -135,7 +133,7 @@
     return found
 
 
-def _lose(
+def _make_stage_lost(
     run: ChainRun, stage: Stage, outcome: StepRefused | StreamBroken
 ) -> StageLost:
     is_refused = isinstance(outcome, StepRefused)
@@ -143,6 +141,6 @@
         stage=stage,
         detail=outcome.error if is_refused else outcome.detail,
         may_have_run=run.may_have_run,
-        is_closed=is_refused and outcome.error in _TAKEN_OVER,
+        is_closed=is_refused and outcome.error in _CLOSED_ERRORS,
         is_unreachable=is_refused and outcome.is_unreachable,
     )
--- a/packages/instance/fulmarward/requests/_execute.py
+++ b/packages/instance/fulmarward/requests/_execute.py
@@ -1,4 +1,4 @@
-"""The task of one completion: choose a target, stream, retry what may be."""
+"""Runs one completion: chooses targets, streams, and retries where that is safe."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,7 +8,7 @@
 from fulmarward.placement import count_attempt, count_chain
 from fulmarward.requests._admit import admit_work
 from fulmarward.requests._attempt import RETRY_AFTER_MS, run_attempt
-from fulmarward.requests._budget import note_try, take_retry
+from fulmarward.requests._budget import record_first_try, take_retry
 from fulmarward.requests._chain import run_chain
 from fulmarward.requests._chain_choice import choose_chain
 from fulmarward.requests._measure import measure_attempt
@@ -18,20 +18,21 @@
 from fulmarward_core.results import Failure, ResultCode, make_failure
 from fulmarward_core.routing import TargetView
 
-#: Attempts of one request. Load: a failing pool; harm: each request times the number
-#: of targets; reason: two more targets find a good one unless most are bad.
-MOST_ATTEMPTS = 3
+#: Maximum attempts of one request. Without a limit, a failing pool would multiply
+#: every request by the number of targets. Two retries find a working target unless
+#: most targets are bad.
+MAX_ATTEMPTS = 3
 
-#: How long a target that refused or broke gets no new work, in seconds.
-AVOID_S = 1.0
+#: Seconds for which a target that refused or failed gets no new work.
+AVOID_TARGET_S = 1.0
 
-#: Asks whether an attempt may be dispatched to a target, the first one of a chain;
-#: `None` says yes. A refusal ends the request.
+#: Decides whether an attempt may be dispatched to a target (for a chain, its first
+#: target). Returns `None` to allow it; a failure ends the request.
 Confirm = Callable[[int, TargetView], Awaitable[Failure | None]]
 
 
 async def confirm_always(attempt: int, view: TargetView) -> None:
-    """Say yes, for a request that may run more than once."""
+    """Allow every dispatch, for requests that may run more than once."""
 
 
 async def run_completion(
@@ -40,9 +41,9 @@
     answer: Answer,
     confirm: Confirm = confirm_always,
 ) -> None:
-    """Execute a completion and write its answer; always ends the answer.
+    """Execute a completion and write its answer, which is always ended.
 
-    `confirm` is asked right before each dispatch.
+    `confirm` is called right before each dispatch.
     """
     answer.task = asyncio.current_task()
     timeout_s = work.deadline - instance.read_clock()
@@ -59,7 +60,7 @@
 
 
 def describe_timeout(answer: Answer) -> Failure:
-    """Return what is true of a request whose deadline passed."""
+    """Return the failure of a request whose deadline passed."""
     if answer.locator or answer.texts:
         return make_failure(ResultCode.DEADLINE_PASSED)
     if answer.is_dispatched:
@@ -74,12 +75,14 @@
     first_attempt: int,
     confirm: Confirm = confirm_always,
 ) -> Failure | None:
-    """Run attempts until one ends well or none may follow."""
+    """Run attempts until one succeeds or no further one is allowed."""
     failure = None
     tried: set[str] = set()
-    note_try(instance, work)
-    for attempt in range(first_attempt, first_attempt + MOST_ATTEMPTS):
-        outcome = await _run_somewhere(instance, work, answer, attempt, confirm, tried)
+    record_first_try(instance, work)
+    for attempt in range(first_attempt, first_attempt + MAX_ATTEMPTS):
+        outcome = await _run_one_attempt(
+            instance, work, answer, attempt, confirm, tried
+        )
         if outcome is None:
             return None
         failure = choose_failure(failure, outcome)
@@ -88,7 +91,7 @@
     return failure
 
 
-async def _run_somewhere(
+async def _run_one_attempt(
     instance: Instance,
     work: Work,
     answer: Answer,
@@ -96,7 +99,7 @@
     confirm: Confirm,
     tried: set[str],
 ) -> Failure | None:
-    """Run an attempt on a target with the whole model, else on a chain."""
+    """Run an attempt on a target with the whole model or, if none, on a chain."""
     choice = choose_route(instance, work, attempt, frozenset(tried))
     if choice is None:
         chosen = choose_chain(instance, work, attempt)
@@ -124,15 +127,15 @@
         view.in_flight -= 1
     count_attempt(instance, view, failure)
     if failure is not None:
-        view.avoided_until = instance.read_clock() + AVOID_S
+        view.avoided_until = instance.read_clock() + AVOID_TARGET_S
     return failure
 
 
 def _may_retry(work: Work, failure: Failure) -> bool:
     """Return whether another attempt may run the request.
 
-    Guards against a second execution of what must run once. A lost stream is final:
-    another attempt has shown that the answer cannot go on where it stands.
+    Prevents a second execution of a non-idempotent request. A lost stream is final:
+    an earlier attempt has shown that the answer cannot be continued.
     """
     if failure.code in (ResultCode.STREAM_LOST, ResultCode.NO_TARGET):
         return False
--- a/packages/instance/fulmarward/requests/_locate.py
+++ b/packages/instance/fulmarward/requests/_locate.py
@@ -1,4 +1,4 @@
-"""Where a request runs, as other instances and engines are told it."""
+"""Locators of running requests, and the reader name of this instance."""
 
 from fulmarward._instance import Instance
 from fulmarward.requests._work import Work
@@ -6,14 +6,14 @@
 
 
 def name_reader(instance: Instance) -> str:
-    """Return this instance's name towards engines, unlike that of any earlier run."""
+    """Return the reader name sent to engines, unique to this run of the instance."""
     return f"{instance.settings.name}.{instance.member.boot}"
 
 
 def make_locator(
     instance: Instance, work: Work, attempt: int, stages: tuple[Stage, ...]
 ) -> str:
-    """Return the sealed locator of an attempt."""
+    """Return the sealed locator of an attempt, which lets any instance resume it."""
     remaining = work.deadline - instance.read_clock()
     locator = Locator(
         request=work.request,
--- a/packages/instance/fulmarward/requests/_measure.py
+++ b/packages/instance/fulmarward/requests/_measure.py
@@ -1,4 +1,4 @@
-"""What an attempt tells of its target: waits, speed and failures."""
+"""Measures attempts: updates a target's latency, speed and failure statistics."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -18,26 +18,25 @@
 from fulmarward_core.results import Failure, ResultCode
 from fulmarward_core.routing import TargetView, estimate_load
 
-#: Wait for a first token, in seconds, after which an attempt that is ended counts as a
-#: failure of its target. Load: a frozen engine; harm: its requests pass their
-#: deadlines one by one and nothing ever speaks against it; reason: the longest first
-#: token that is promised, and its peers are compared before it is set aside.
-FROZEN_S = 2.0
+#: Seconds without a first token after which a cancelled attempt counts as a failure of
+#: its target. Otherwise the requests of a frozen engine would pass their deadlines
+#: one by one without being counted against it. The value is the longest promised time
+#: to first token; the target is still compared with its peers before it is set aside.
+FIRST_TOKEN_TIMEOUT_S = 2.0
 
 
 @dataclass(kw_only=True)
 class Measurement:
-    """One attempt as it goes on."""
+    """Timing and outcome of one attempt."""
 
-    #: The target.
     view: TargetView
-    #: When it was sent, and when its first and its last tokens came; steady clock.
+    #: When it was sent and when its first and last tokens came, monotonic clock.
     sent_at: float
     first_at: float = 0.0
     last_at: float = 0.0
-    #: Tokens so far.
+    #: Number of tokens received.
     tokens: int = 0
-    #: Whether the attempt came to its own end, and why it was no good one.
+    #: Whether the attempt ended by itself, and its failure, if any.
     has_ended: bool = False
     failure: Failure | None = None
 
@@ -46,32 +45,32 @@
 def measure_attempt(
     instance: Instance, work: Work, answer: Answer, view: TargetView
 ) -> Iterator[Measurement]:
-    """Measure the attempt that is made inside."""
+    """Measure the attempt that runs inside the context."""
     measured = Measurement(view=view, sent_at=instance.read_clock())
 
-    def take_tokens(tokens: int) -> None:
-        _take_tokens(instance, work, measured, tokens)
+    def record_tokens(tokens: int) -> None:
+        _record_tokens(instance, work, measured, tokens)
 
-    answer.on_texts = take_tokens
+    answer.on_texts = record_tokens
     try:
         yield measured
     finally:
         answer.on_texts = None
-        _take_end(instance, measured)
+        _record_end(instance, measured)
 
 
-def _take_tokens(
+def _record_tokens(
     instance: Instance, work: Work, measured: Measurement, tokens: int
 ) -> None:
     now = instance.read_clock()
     if not measured.tokens:
         measured.first_at = now
-        _take_first(instance, work, measured, now)
+        _record_first_token(instance, work, measured, now)
     measured.tokens += tokens
     measured.last_at = now
 
 
-def _take_first(
+def _record_first_token(
     instance: Instance, work: Work, measured: Measurement, now: float
 ) -> None:
     view = measured.view
@@ -89,11 +88,11 @@
     )
 
 
-def _take_end(instance: Instance, measured: Measurement) -> None:
+def _record_end(instance: Instance, measured: Measurement) -> None:
     view, now = measured.view, instance.read_clock()
     failure = measured.failure
     if not measured.has_ended:
-        _take_cancel(measured, now)
+        _record_cancellation(measured, now)
     elif failure is None:
         streamed_s = measured.last_at - measured.first_at
         note_success(view.performance, tokens=measured.tokens, streamed_s=streamed_s)
@@ -103,11 +102,11 @@
         note_failure(view.performance, slots=view.target.slots, now=now)
 
 
-def _take_cancel(measured: Measurement, now: float) -> None:
-    """Take in what an attempt showed that was ended before its answer was whole."""
+def _record_cancellation(measured: Measurement, now: float) -> None:
+    """Record an attempt that was cancelled before its answer was complete."""
     view = measured.view
     if measured.tokens:
         streamed_s = measured.last_at - measured.first_at
         note_speed(view.performance, tokens=measured.tokens, streamed_s=streamed_s)
-    elif now - measured.sent_at > FROZEN_S:
+    elif now - measured.sent_at > FIRST_TOKEN_TIMEOUT_S:
         note_failure(view.performance, slots=view.target.slots, now=now)
--- a/packages/instance/fulmarward/requests/_move.py
+++ b/packages/instance/fulmarward/requests/_move.py
@@ -1,4 +1,4 @@
-"""Moving a running stage: its KV cache goes from one target to another."""
+"""Migration of a running stage: moves its KV cache to another target."""
 
 from fulmarward._instance import Instance
 from fulmarward.targets import (
@@ -12,7 +12,7 @@
 
 
 def find_address(instance: Instance, stage: Stage) -> str | None:
-    """Return the address of a stage's target, if it is still declared."""
+    """Return the address of a stage's target, or `None` if it is not declared."""
     target = instance.snapshot.declaration.targets.get(stage.target)
     return target.address if target else None
 
@@ -20,11 +20,11 @@
 async def move_stage(
     instance: Instance, stage: Stage, target: str, *, request: str, attempt: int
 ) -> Stage | StreamBroken | None:
-    """Move a stage's cache between two tokens; returns where it is then.
+    """Move a stage's cache between two tokens; return the stage at its new target.
 
-    `None` means that it is where it was; `StreamBroken` that it is lost, so that the
-    attempt has to end. Guards against a layer that runs at both targets: the old one
-    refuses steps once it has given the cache away, and steps go to one of them only.
+    Returns `None` if the cache stays where it was, and `StreamBroken` if it is lost,
+    which ends the attempt. No layer can run at both targets: the old one refuses
+    steps once the cache was exported, and steps are sent to only one of them.
     """
     moved = Stage(target=target, layers=stage.layers)
     source = find_address(instance, stage)
@@ -40,13 +40,13 @@
     for place, outcome in ((moved, moved), (stage, None)):
         if await _put_cache(instance, place, cache, request, attempt):
             return outcome
-    return StreamBroken(detail="the cache was lost while it moved")
+    return StreamBroken(detail="the KV cache was lost during its migration")
 
 
 async def _put_cache(
     instance: Instance, stage: Stage, cache: bytes, request: str, attempt: int
 ) -> bool:
-    """Import a cache; return whether the target has it, also when a reply is lost."""
+    """Import a cache; return whether the target has it, even if the reply was lost."""
     address = find_address(instance, stage)
     names = {"request": request, "attempt": attempt, "stage": stage}
     outcome = await import_cache(instance.session, address, cache, **names)
--- a/packages/instance/fulmarward/requests/_progress.py
+++ b/packages/instance/fulmarward/requests/_progress.py
@@ -1,4 +1,4 @@
-"""How far an attempt has come in writing an answer, on one target or on a chain."""
+"""Progress of an attempt that writes an answer, on one target or on a chain."""
 
 from dataclasses import dataclass
 
@@ -9,47 +9,46 @@
 from fulmarward_core.requests import find_new_texts
 from fulmarward_core.streams import Stage, digest_texts
 
-#: The end of an attempt whose first texts are not those that were sent.
+#: The end of an attempt whose texts differ from those already sent to the caller.
 DIFFERS = "differs"
 
-#: The same for people.
-DIFFERS_DETAIL = "A new attempt gave another answer than the part that was sent."
+#: The failure message for `DIFFERS`.
+DIFFERS_DETAIL = "A new attempt gave an answer that differs from the part sent."
 
 
 @dataclass(kw_only=True)
 class AttemptProgress:
     """The state of one attempt."""
 
-    #: Its number.
     number: int
-    #: Where it runs.
+    #: The target or the stages that run it.
     stages: tuple[Stage, ...]
-    #: Texts of this attempt that have come.
-    seen: int = 0
-    #: Whether its locator was given to the answer.
+    #: Number of texts received from this attempt.
+    received: int = 0
+    #: Whether its locator was set on the answer.
     is_located: bool = False
 
 
-def locate_answer(
+def publish_locator(
     instance: Instance, work: Work, answer: Answer, attempt: AttemptProgress
 ) -> None:
-    """Give the answer this attempt's locator once it has all that callers may have.
+    """Set this attempt's locator on the answer once it covers the answer's texts.
 
-    Guards against event ids that name an attempt whose first events turn out to
-    differ: until all of them are compared, ids name the attempt before.
+    Prevents event ids that name an attempt whose first events turn out to differ:
+    until all of them are compared, ids name the previous attempt.
     """
-    if attempt.is_located or attempt.seen < len(answer.texts):
+    if attempt.is_located or attempt.received < len(answer.texts):
         return
     attempt.is_located = True
     answer.set_locator(make_locator(instance, work, attempt.number, attempt.stages))
 
 
-def _settle_owed(answer: Answer, new: list[str], *, is_over: bool) -> bool:
-    """Return whether the answer may go on with `new`, given what its caller has.
+def _matches_expected(answer: Answer, new: list[str], *, is_over: bool) -> bool:
+    """Return whether `new` may be appended, given the texts that the caller has.
 
-    Guards against an answer sewn together from two different ones when the texts that
-    the caller has were lost with their instance and their engine: the digest in its
-    event id has to be that of the texts which the new attempt gives.
+    Prevents an answer that mixes two different ones when the caller's texts were lost
+    with their instance and engine: the texts of the new attempt must have the digest
+    in the caller's event id.
     """
     if not answer.owed:
         return True
@@ -61,7 +60,7 @@
     return is_same
 
 
-def take_texts(
+def append_texts(
     instance: Instance,
     work: Work,
     answer: Answer,
@@ -69,14 +68,14 @@
     texts: list[str],
     end: str,
 ) -> str | None:
-    """Append an attempt's texts to the answer; return how it ended, if it did."""
-    new = find_new_texts(answer.texts, texts, first=attempt.seen)
-    attempt.seen += len(texts)
-    if new is None or (end and attempt.seen < len(answer.texts)):
+    """Append an attempt's texts to the answer; return its end, or `None` before it."""
+    new = find_new_texts(answer.texts, texts, first=attempt.received)
+    attempt.received += len(texts)
+    if new is None or (end and attempt.received < len(answer.texts)):
         return DIFFERS
-    if not _settle_owed(answer, new, is_over=bool(end)):
+    if not _matches_expected(answer, new, is_over=bool(end)):
         return DIFFERS
-    locate_answer(instance, work, answer, attempt)
+    publish_locator(instance, work, answer, attempt)
     if new:
         answer.add_texts(new)
     return end or None
--- a/packages/instance/fulmarward/requests/_resume.py
+++ b/packages/instance/fulmarward/requests/_resume.py
@@ -1,4 +1,4 @@
-"""The task of a stream that was begun by another instance."""
+"""Resumes a stream that another instance started."""
 
 import asyncio
 
@@ -13,10 +13,10 @@
 from fulmarward_core.results import Failure, ResultCode, make_failure
 from fulmarward_core.streams import EventId, Locator
 
-#: From where on the numbers of later attempts are drawn. Guards against two instances
-#: that both go on with a request (one was frozen and woke) and give one number to two
-#: attempts, whose events would then pass for each other's.
-FIRST_DRAWN, END_DRAWN = 1_000, 2**31
+#: Range from which the first number of later attempts is drawn at random. Prevents two
+#: instances that both continue a request (one was suspended and resumed) from using
+#: one number for two attempts, whose events could then not be told apart.
+FIRST_RESUMED_ATTEMPT, END_RESUMED_ATTEMPT = 1_000, 2**31
 
 
 async def run_resumed(
@@ -26,24 +26,24 @@
     locator: Locator,
     event: EventId,
 ) -> None:
-    """Write an answer from the stream that `locator` names; always ends the answer.
+    """Write an answer from the stream that `locator` names, and always end it.
 
-    The stream is read from its first event, so that the journal holds all that the
-    caller has up to `event`, and a later attempt can be compared with it.
+    The stream is read from its first event, so that the answer holds everything that
+    the caller has up to `event` and a later attempt can be compared with it.
     """
     answer.task = asyncio.current_task()
     answer.is_dispatched = True
     remaining = work.deadline - instance.read_clock()
     try:
         async with asyncio.timeout(max(remaining, 0.0)):
-            failure = await _go_on(instance, work, answer, locator, event)
+            failure = await _continue_answer(instance, work, answer, locator, event)
     except TimeoutError:
         failure = describe_timeout(answer)
     if failure is not None and not answer.is_over:
         answer.fail(failure)
 
 
-async def _go_on(
+async def _continue_answer(
     instance: Instance,
     work: Work,
     answer: Answer,
@@ -54,13 +54,13 @@
     if failure is None or failure.code is ResultCode.STREAM_LOST:
         return failure
     lost = make_failure(ResultCode.STREAM_LOST, failure.message)
-    is_owed = len(answer.texts) < event.number
-    if not work.idempotent or (is_owed and not event.digest):
-        # Not to be run again, or what the caller has cannot be compared.
+    is_incomplete = len(answer.texts) < event.number
+    if not work.idempotent or (is_incomplete and not event.digest):
+        # The request must not run again, or nothing identifies the caller's texts.
         return lost
-    if is_owed:
+    if is_incomplete:
         answer.owed, answer.owed_digest = event.number, event.digest
-    first = instance.generator.randrange(FIRST_DRAWN, END_DRAWN)
+    first = instance.generator.randrange(FIRST_RESUMED_ATTEMPT, END_RESUMED_ATTEMPT)
     later = await try_targets(instance, work, answer, first)
     return later and choose_failure(lost, later)
 
@@ -74,5 +74,5 @@
         )
     view = find_view(instance, locator.stages[0].target)
     if view is None:
-        return make_failure(ResultCode.STREAM_LOST, "The target is declared no more.")
+        return make_failure(ResultCode.STREAM_LOST, "The target is no longer declared.")
     return await attach_attempt(instance, work, answer, locator.attempt, view)
--- a/packages/instance/fulmarward/requests/_route.py
+++ b/packages/instance/fulmarward/requests/_route.py
@@ -1,4 +1,4 @@
-"""Choosing the target of an attempt, with a log line for the decision."""
+"""Chooses the target of an attempt and logs the decision."""
 
 from fulmarward._instance import Instance
 from fulmarward.observability import log_event
@@ -10,7 +10,7 @@
 from fulmarward_core.routing import Ask, Choice, TargetView, choose_target
 
 
-def list_candidates(instance: Instance, work: Work) -> list[TargetView]:
+def list_whole_model_views(instance: Instance, work: Work) -> list[TargetView]:
     model = work.snapshot.declaration.models[work.pipeline.model]
     return [
         view
@@ -28,8 +28,8 @@
     ]
 
 
-def list_engines(instance: Instance, work: Work) -> list[TargetView]:
-    """Return all engines of the request's model, whatever layers they hold."""
+def list_engine_views(instance: Instance, work: Work) -> list[TargetView]:
+    """Return the views of all engines of the request's model, with any layers."""
     return [
         view
         for view in instance.views.values()
@@ -57,8 +57,8 @@
     attempt: int,
     tried: frozenset[str] = frozenset(),
 ) -> Choice | None:
-    """Choose the target of an attempt among those not `tried` before."""
-    candidates = list_candidates(instance, work)
+    """Choose the target of an attempt among those that are not in `tried`."""
+    candidates = list_whole_model_views(instance, work)
     choice = choose_target(
         candidates=candidates,
         data_centre=instance.settings.data_centre,
--- a/packages/instance/fulmarward/requests/_work.py
+++ b/packages/instance/fulmarward/requests/_work.py
@@ -1,4 +1,4 @@
-"""What an accepted request is."""
+"""The data of an accepted completion request."""
 
 import secrets
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 def make_request_id() -> str:
-    """Return a fresh request id: 80 random bits."""
+    """Return a new random request id of 80 bits."""
     return secrets.token_hex(10)
 
 
@@ -16,22 +16,20 @@
 class Work:
     """One accepted completion request."""
 
-    #: Its id.
+    #: Request id.
     request: str
     #: Name of the team.
     team: str
-    #: The configuration it began with and keeps to its end.
+    #: The configuration at its start, which applies until its end.
     snapshot: Snapshot
     #: Name of the pipeline and its declaration.
     pipeline_name: str
     pipeline: Pipeline
-    #: The prompt's text.
     prompt: str
-    #: Most tokens of the answer.
+    #: Maximum number of tokens in the answer.
     max_tokens: int
-    #: How soon it is needed.
     urgency: Urgency
     #: Whether it may be executed more than once.
     idempotent: bool
-    #: When the answer has to be over, seconds on the steady clock.
+    #: When the answer must be complete, in seconds on the monotonic clock.
     deadline: float
--- a/packages/instance/fulmarward/requests/tests/test_chains.py
+++ b/packages/instance/fulmarward/requests/tests/test_chains.py
@@ -14,7 +14,7 @@
 )
 
 
-def _plan():
+def _make_plan():
     ranges = {"c1": (0, 8), "c2": (8, 16), "c3": (16, 24)}
     spares = {"d1": (0, 12), "d2": (6, 20), "d3": (16, 24)}
     targets = [
@@ -37,8 +37,8 @@
     )
 
 
-def _ran(ledgers, request):
-    """Return the targets that ran steps of each attempt of a request."""
+def _list_targets_by_attempt(ledgers, request):
+    """Return the targets that ran steps of a request, by attempt."""
     attempts = {}
     for target, ledger in ledgers.items():
         for entry in ledger:
@@ -48,8 +48,8 @@
 
 
 class ChainTest(unittest.IsolatedAsyncioTestCase):
-    async def test_chain_outlives_lost_replies_instances_and_stages(self):
-        async with start_fleet(_plan()) as fleet:
+    async def test_chain_survives_lost_replies_instances_and_stages(self):
+        async with start_fleet(_make_plan()) as fleet:
             await self._check_lost_replies(fleet)
             await self._check_leaving_stage(fleet)
             await self._check_killed_stage(fleet)
@@ -61,11 +61,11 @@
         self.assertTrue(stream.is_whole, stream.events[-1:])
         ledgers = await fleet.read_ledgers_by_target()
         self.assertEqual(find_ledger_faults(ledgers), [])
-        return _ran(ledgers, stream.request)
+        return _list_targets_by_attempt(ledgers, stream.request)
 
     async def _check_lost_replies(self, fleet):
-        # A step takes effect and its reply is lost, at each stage. The caller has the
-        # whole answer; the step's result is read back and no layer runs twice.
+        # At each stage, a step takes effect and its reply is lost. The driver reads the
+        # result of the step; the caller gets the whole answer and no layer runs twice.
         for target in ("c1", "c2", "c3", "d1", "d2", "d3"):
             await fleet.control_target(target, lose_replies=2, lose_matching="/steps")
         prompt = "digest [20 tokens]"
@@ -74,14 +74,16 @@
         self.assertEqual(set(ran), {1})
 
     async def _check_leaving_stage(self, fleet):
-        # The last stage's target leaves in the middle of an answer, and is so slow that
-        # the answer cannot end before that is known. Its KV cache moves
-        # to another target of the range, one reply of the import being lost; the same
-        # attempt goes on there, and no layer runs twice.
+        # The target of the last stage starts leaving during an answer, and is slow
+        # enough that the answer cannot end before this is noticed. Its KV cache moves
+        # to another target of the range, with one reply of the import lost. The same
+        # attempt continues there, and no layer runs twice.
         prompt = "sunrise [300 tokens]"
         async with open_stream(fleet, "i1", prompt, pipeline="chain") as stream:
             await stream.read(10)
-            ran = _ran(await fleet.read_ledgers_by_target(), stream.request)[1]
+            ran = _list_targets_by_attempt(
+                await fleet.read_ledgers_by_target(), stream.request
+            )[1]
             leaving, other = ("c3", "d3") if "c3" in ran else ("d3", "c3")
             await fleet.control_target(other, lose_replies=1, lose_matching="/v1/kv")
             await fleet.control_target(leaving, leaving=True, step_ms=60)
@@ -92,13 +94,15 @@
         await fleet.control_target(leaving, leaving=False, step_ms=0)
 
     async def _check_killed_stage(self, fleet):
-        # A stage dies in the middle of an answer and its cache with it. The attempt
-        # is closed on the other stages, a new one runs elsewhere, and what the caller
-        # gets goes on at the same place.
+        # A stage is killed during an answer and its cache is lost. The attempt is
+        # closed at the other stages, a new one runs without the killed target, and the
+        # caller's stream continues where it was.
         prompt = "unit move [300 tokens]"
         async with open_stream(fleet, "i1", prompt, pipeline="chain") as stream:
             await stream.read(10)
-            ran = _ran(await fleet.read_ledgers_by_target(), stream.request)
+            ran = _list_targets_by_attempt(
+                await fleet.read_ledgers_by_target(), stream.request
+            )
             dying = "c2" if "c2" in ran[1] else "d2"
             await fleet.control_target(dying, step_ms=100)
             await fleet.processes[dying].kill()
@@ -110,9 +114,10 @@
         await fleet.wait_listening(fleet.find_target(dying).address)
 
     async def _check_frozen_instance(self, fleet):
-        # The driving instance freezes, another one takes the chain over, and the
-        # first wakes in the middle: it would drive on, then see its caller gone and
-        # close the attempt. The stages refuse it, and the caller has the whole answer.
+        # The driving instance is suspended, another one takes over the chain, and the
+        # first resumes during the answer. It would drive on, then see its caller gone
+        # and close the attempt. The stages refuse it, and the caller gets the whole
+        # answer.
         prompt = "status [300 tokens]"
         frozen = fleet.processes["i1"]
         async with open_stream(fleet, "i1", prompt, pipeline="chain") as first:
@@ -132,9 +137,9 @@
         self.assertEqual(set(ran), {1})
 
     async def _check_killed_instance(self, fleet):
-        # The instance that drives a chain dies. Another one reads from the stages how
-        # far each is and drives on; the caller has every event once, and so has
-        # every stage every step.
+        # The instance that drives a chain is killed. Another one reads the position of
+        # each stage and continues. The caller gets every event once, and every stage
+        # runs every step once.
         prompt = "coding [150 tokens]"
         async with open_stream(fleet, "i1", prompt, pipeline="chain") as first:
             await first.read(10)
@@ -150,9 +155,10 @@
         numbers = [int(event_id.rpartition(".")[2]) for event_id in ids]
         self.assertEqual(numbers, list(range(152)))
 
-    async def test_no_chain_is_told_at_once(self):
-        # All that hold the middle layers leave. New work is refused as not run.
-        plan = _plan()
+    async def test_missing_chain_is_refused_at_once(self):
+        # All targets of one layer range are leaving. A new request is refused as not
+        # run.
+        plan = _make_plan()
         plan.instances = plan.instances[:1]
         plan.targets = [item for item in plan.targets if item.name[0] == "c"]
         async with start_fleet(plan) as fleet:
@@ -162,5 +168,8 @@
             self.assertIn(body["result"], (2004, 2010))
             self.assertEqual(body["ran"], "not_run")
             self.assertEqual(
-                _ran(await fleet.read_ledgers_by_target(), stream.request), {}
+                _list_targets_by_attempt(
+                    await fleet.read_ledgers_by_target(), stream.request
+                ),
+                {},
             )
--- a/packages/instance/fulmarward/requests/tests/test_drive.py
+++ b/packages/instance/fulmarward/requests/tests/test_drive.py
@@ -28,12 +28,12 @@
 )
 _PROMPT = "cast [4 tokens]"
 
-#: What can become of a call.
-_FATES = ["done", "done", "done", "lost", "lost_reply", "late", "restart", "refused"]
+#: Possible outcomes of a call, drawn by the property test.
+_OUTCOMES = ["done", "done", "done", "lost", "lost_reply", "late", "restart", "refused"]
 
 
-class _Stages:
-    """The stand-in's own steps behind calls that fail as drawn."""
+class _FaultyStages:
+    """The stand-in's step state behind calls that fail as drawn."""
 
     def __init__(self, fates):
         self.fates = iter(fates)
@@ -53,10 +53,10 @@
         if fate == "restart":
             ledger = self.states[stage.target].ledger
             self.states[stage.target] = StepState(ledger=ledger)
-        outcome = self.run_now(stage, order)
+        outcome = self.run_without_faults(stage, order)
         return StreamBroken(detail="lost") if fate == "lost_reply" else outcome
 
-    def run_now(self, stage, order):
+    def run_without_faults(self, stage, order):
         state = self.states[stage.target]
         result = run_step(state, vars(order))
         if isinstance(result, StepRefusal):
@@ -98,7 +98,7 @@
 
 
 async def _attach(stages, term, first):
-    """Go on with what another driver began, once it has given a token out."""
+    """Take over the attempt of another driver once its last stage has a token."""
     while not first.done():
         found = await stages.read_steps(_STAGES[-1], -1)
         if isinstance(found, tuple) and found:
@@ -108,7 +108,7 @@
             for state in stages.states.values():
                 claim_attempt(state, ("r", 1), term)
             return await _drive(stages, term, texts, found[-1].output)
-    return [], "nothing to go on with"
+    return [], "no token to continue from"
 
 
 async def _drive(stages, term, texts=(), value=None):
@@ -133,14 +133,14 @@
 
 
 class DriveTest(unittest.TestCase):
-    @given(st.lists(st.sampled_from(_FATES), max_size=60), st.integers(0, 2))
-    def test_no_layer_runs_twice_whatever_becomes_of_calls(self, fates, drivers):
-        # Calls and replies are lost, arrive late, stages restart without their
-        # caches; and further drivers (the first was frozen and woke) go on with the
-        # attempt from where its last stage is, some with an equal term. Every layer
-        # runs once for a token, and what a driver gives out is the right answer's
-        # beginning, or all of it.
-        stages = _Stages(fates)
+    @given(st.lists(st.sampled_from(_OUTCOMES), max_size=60), st.integers(0, 2))
+    def test_no_layer_runs_twice_under_call_failures(self, fates, drivers):
+        # Calls and replies are lost or arrive late, and stages restart without their
+        # caches. Further drivers (the first was suspended and resumed) take over the
+        # attempt at the position of its last stage, some with an equal term. Every
+        # layer runs once per token, and each driver outputs a prefix of the right
+        # answer, or all of it.
+        stages = _FaultyStages(fates)
 
         async def drive_all():
             first = asyncio.ensure_future(_drive(stages, 0))
@@ -149,16 +149,16 @@
 
         outcomes = asyncio.run(drive_all())
         for stage, order in stages.late:
-            stages.run_now(stage, order)
+            stages.run_without_faults(stage, order)
         _check_ledgers(self, stages)
         right = answer_tokens(_PROMPT, 100, 24)
         for texts, lost in outcomes:
             self.assertEqual(texts, right[: len(texts)])
             self.assertTrue(lost or len(texts) == len(right))
 
-    def test_what_is_not_run_is_known_and_a_closed_attempt_ends(self):
-        # Only an attempt of which nothing can have run may be told "not run"; one
-        # that another driver closed must not be followed by a new one.
+    def test_loss_reports_what_may_have_run_and_closed_attempts(self):
+        # Only an attempt of which nothing can have run may be reported as not run. An
+        # attempt that another driver closed must not be followed by a new one.
         cases = [
             (["refused"] * 9, "ClientConnectorError", False, False),
             (["lost"] * 9, "lost", True, False),
@@ -167,7 +167,7 @@
         ]
         for fates, detail, may_have_run, is_closed in cases:
             with self.subTest(fates=fates):
-                stages = _Stages(fates)
+                stages = _FaultyStages(fates)
                 if is_closed:
                     close_attempt(stages.states["t0"], ("r", 1))
                 _, lost = asyncio.run(_drive(stages, 0))
--- a/packages/instance/fulmarward/requests/tests/test_saturation.py
+++ b/packages/instance/fulmarward/requests/tests/test_saturation.py
@@ -28,10 +28,11 @@
 
 
 class SaturationTest(unittest.IsolatedAsyncioTestCase):
-    async def test_each_is_answered_whole_or_refused_truthfully(self):
-        # The nightly codings fill all slots, then summaries with little time and
-        # the crews' lookups arrive at once. Every caller has its own whole answer or
-        # the truth about what did not run, and lookups go before waiting codings.
+    async def test_each_request_is_answered_or_refused_correctly(self):
+        # Bulk requests fill all slots, then requests with a short deadline and urgent
+        # ones arrive together. Every caller gets its own complete answer or a correct
+        # statement that the request did not run. Urgent requests run before queued
+        # bulk ones.
         async with start_fleet(_make_plan()) as fleet:
             for target in ("e1", "e2"):
                 await fleet.control_target(target, token_ms=400)
@@ -46,12 +47,12 @@
             async def are_decided():
                 return await self._count_decisions(fleet) >= total
 
-            await wait_until(are_decided, "all to be admitted or refused")
+            await wait_until(are_decided, "all requests to be admitted or refused")
             for target in ("e1", "e2"):
                 await fleet.control_target(target, token_ms=10)
             outcomes = await asyncio.gather(*calls)
             entries = await fleet.read_ledgers()
-        self._check_truth(outcomes, entries)
+        self._check_outcomes(outcomes, entries)
         self._check_order()
 
     async def _count_decisions(self, fleet):
@@ -77,7 +78,7 @@
             self.ends.append(group)
         return prompt, result
 
-    def _check_truth(self, outcomes, entries):
+    def _check_outcomes(self, outcomes, entries):
         ran = {entry["request"] for entry in entries if entry["event"] == "ran"}
         refused = 0
         for prompt, result in outcomes:
@@ -94,8 +95,8 @@
         self.assertGreater(refused, 0)
 
     def _check_order(self):
-        def mean_place(group):
-            places = [place for place, name in enumerate(self.ends) if name == group]
-            return sum(places) / len(places)
+        def mean_position(group):
+            positions = [index for index, name in enumerate(self.ends) if name == group]
+            return sum(positions) / len(positions)
 
-        self.assertLess(mean_place("urgent"), mean_place("bulk"))
+        self.assertLess(mean_position("urgent"), mean_position("bulk"))
