--- a/packages/instance/fulmarward/targets/__init__.py
+++ b/packages/instance/fulmarward/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Targets: engines and plain services, and the tasks that watch them."""
+"""Clients for engines and plain services, and the tasks that monitor targets."""
 
 from fulmarward.targets._engine import (
     EngineStream,
--- a/packages/instance/fulmarward/targets/_engine.py
+++ b/packages/instance/fulmarward/targets/_engine.py
@@ -1,8 +1,9 @@
-"""Streams of engines; with its neighbours here the only code that knows their protocol.
+"""Client for the streams of engines.
 
-A function here says "refused" only when nothing of the request can have been run:
-no connection was made, or the engine itself answered that it did not begin.
-Everything else that goes wrong is "broken" and leaves the outcome open.
+Only the modules of this package know the engines' protocol. A function returns a
+"refused" result only if no part of the request can have run: no connection was made,
+or the engine replied that it did not start. Every other error is "broken" and leaves
+the outcome open.
 """
 
 import asyncio
@@ -14,48 +15,47 @@
 
 from fulmarward_core.requests import StreamEvent, parse_events
 
-#: Seconds without any byte after which a stream's connection is made anew. Harm: a
-#: frozen engine holds its callers; reason: far above any token interval, and a stream
-#: that only waits for its turn answers the new connection at once.
-SILENCE_S = 2.0
+#: Seconds without any byte after which a stream is reconnected, so that a frozen engine
+#: does not hold its callers. Far above any token interval; a stream that is only queued
+#: answers the new connection at once.
+READ_TIMEOUT_S = 2.0
 
-#: Seconds for an engine to answer that a stream can be attached to again.
+#: Seconds for an engine to answer a request to attach to a stream again.
 ATTACH_S = 1.0
 
-#: Seconds for a short call to an engine.
+#: Timeout of short calls to an engine, in seconds.
 SHORT_CALL_S = 2.0
 
-#: What a call raises when no whole and well-formed answer came.
-BAD_ANSWERS = (aiohttp.ClientError, TimeoutError, ValueError, KeyError, TypeError)
+#: Raised by a call whose response is missing, incomplete or malformed.
+CALL_ERRORS = (aiohttp.ClientError, TimeoutError, ValueError, KeyError, TypeError)
 
 
 @dataclass(frozen=True, kw_only=True)
 class StreamOrder:
-    """What an engine is asked to generate."""
+    """A request to an engine to generate an answer."""
 
-    #: Id of the request and number of the attempt: the stream's name.
+    #: Id of the request and number of the attempt, which together name the stream.
     request: str
     attempt: int
-    #: Name of the team, for the engine's records.
+    #: Name of the team, for the engine's logs.
     team: str
     #: Name of the model and of the adapter, if any.
     model: str
     adapter: str | None
-    #: The prompt's text.
     prompt: str
-    #: Most tokens of the answer.
+    #: Maximum number of tokens in the answer.
     max_tokens: int
-    #: 0 is the most urgent.
+    #: Priority; 0 is the most urgent.
     urgency: int
-    #: Name of the instance that reads the stream.
+    #: Reader name of the instance that reads the stream.
     reader: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class StreamRefused:
-    """Nothing of the request was run."""
+    """No part of the request was run."""
 
-    #: What the engine said, or why there was no connection.
+    #: The engine's error, or the connection error.
     detail: str
     #: Whether no connection could be made.
     is_unreachable: bool
@@ -63,39 +63,38 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StreamBroken:
-    """The connection was lost after the order may have arrived."""
+    """The call failed after it may have reached the engine."""
 
-    #: What was seen.
     detail: str
-    #: Whether nothing listens at the address now.
+    #: Whether the connection was refused: nothing listens at the address.
     is_refused: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class StreamUnknown:
-    """The engine knows no stream of this name."""
+    """The engine has no stream of this name."""
 
 
 @dataclass(kw_only=True)
 class EngineStream:
     """An open connection that carries a stream's events."""
 
-    #: The stream's name.
+    #: Id of the request and number of the attempt, which together name the stream.
     request: str
     attempt: int
-    #: The HTTP answer whose body holds the events.
+    #: The HTTP response whose body carries the events.
     response: aiohttp.ClientResponse
-    #: Number of the event that has to come next; events count from 1.
+    #: Number of the next expected event; events are numbered from 1.
     next_number: int
-    #: Bytes of an unfinished line.
-    rest: bytes = b""
-    #: Events dropped so far, by reason.
+    #: Bytes received of a line that is not complete yet.
+    unfinished_line: bytes = b""
+    #: Number of events dropped so far.
     dropped: int = 0
 
 
 def _make_timeout(connect_s: float) -> aiohttp.ClientTimeout:
     return aiohttp.ClientTimeout(
-        total=None, sock_connect=connect_s, sock_read=SILENCE_S
+        total=None, sock_connect=connect_s, sock_read=READ_TIMEOUT_S
     )
 
 
@@ -121,7 +120,7 @@
     except (aiohttp.ClientError, TimeoutError, ValueError, KeyError) as error:
         return StreamBroken(detail=type(error).__name__)
     if detail == "exists":
-        return StreamBroken(detail="the stream exists already")
+        return StreamBroken(detail="the stream already exists")
     return StreamRefused(detail=detail, is_unreachable=False)
 
 
@@ -135,7 +134,7 @@
     reader: str,
     connect_s: float,
 ) -> EngineStream | StreamUnknown | StreamBroken:
-    """Attach to a stream again, from the event after number `after`."""
+    """Attach to a stream again, starting with the event after number `after`."""
     url = f"http://{address}/v1/streams/{request}/{attempt}"
     params = {"after": str(after), "reader": reader}
     try:
@@ -158,18 +157,18 @@
 
 
 async def read_events(stream: EngineStream) -> AsyncIterator[list[StreamEvent]]:
-    """Yield the stream's events in batches, each as large as what has arrived.
+    """Yield the stream's events in batches of what has arrived.
 
-    Returns after the end event, or early when the connection is lost; the caller
-    tells the two apart by the last event it got.
+    Returns after the end event, or earlier when the connection is lost. The caller
+    distinguishes the two by the last event.
     """
     try:
         while True:
             data = await stream.response.content.readany()
             if not data:
                 return
-            lines = (stream.rest + data).split(b"\n")
-            stream.rest = lines.pop()
+            lines = (stream.unfinished_line + data).split(b"\n")
+            stream.unfinished_line = lines.pop()
             batch = parse_events(
                 [orjson.loads(line) for line in lines],
                 request=stream.request,
@@ -197,19 +196,19 @@
     only_reader: str = "",
     age_s: float = 0.0,
 ) -> str | StreamBroken:
-    """End a stream, or close its name for ever if it never began.
+    """Cancel a stream, or close its name permanently if it never started.
 
     Returns `cancelled`, `ended` or `closed_before_start`; the last is the only proof
-    that a stream was not and never will be run.
+    that the stream did not run and never will.
 
-    With `only_reader` the engine ends it only if nobody but that instance reads it,
-    and else returns `read`. Guards against the end of an answer whose caller went to
-    another instance: the first one sees a caller gone and would cancel what the
-    second one reads. The engine alone sees both.
+    With `only_reader` the engine cancels the stream only if no other instance reads
+    it, and otherwise returns `read`. This protects an answer whose caller moved to
+    another instance: the first instance sees its caller gone and would cancel what
+    the second one reads. Only the engine knows both readers.
 
-    `age_s` is how long ago the stream may first have been ordered. Guards against an
-    engine that was restarted since: it knows nothing of what its predecessor ran, so
-    its "closed before start" proves nothing and comes back as `StreamBroken`.
+    `age_s` is the longest time since the stream can have been requested. An engine
+    that was restarted since then does not know what it ran before, so its
+    `closed_before_start` proves nothing and is returned as `StreamBroken`.
     """
     url = f"http://{address}/v1/streams/{request}/{attempt}"
     params = {"only_reader": only_reader} if only_reader else {}
--- a/packages/instance/fulmarward/targets/_orders.py
+++ b/packages/instance/fulmarward/targets/_orders.py
@@ -1,10 +1,10 @@
-"""Orders to engines, and reading back what they hold."""
+"""Client for the placement of engines: sets and reads what an engine holds."""
 
 from dataclasses import dataclass
 
 import aiohttp
 
-from fulmarward.targets._engine import BAD_ANSWERS, SHORT_CALL_S, StreamBroken
+from fulmarward.targets._engine import CALL_ERRORS, SHORT_CALL_S, StreamBroken
 from fulmarward.targets._reports import parse_held
 from fulmarward_core.placement import Held, Wanted
 
@@ -13,15 +13,15 @@
 class OrderTaken:
     """The engine holds what was ordered."""
 
-    #: What it says that it holds now.
+    #: What it reports to hold now.
     held: Held
 
 
 @dataclass(frozen=True, kw_only=True)
 class OrderRefused:
-    """The engine did not take the order."""
+    """The engine rejected the order."""
 
-    #: What it said; `old_fencing` when it has obeyed a later holder.
+    #: Its error; `old_fencing` if it has accepted an order with a newer fencing token.
     detail: str
 
 
@@ -33,7 +33,7 @@
     fencing: int,
     timeout_s: float,
 ) -> OrderTaken | OrderRefused | StreamBroken:
-    """Order an engine to hold `wanted`; it answers when it does."""
+    """Order an engine to hold `wanted`; the engine replies once it does."""
     body = {
         "fencing": fencing,
         "wanted": {
@@ -53,17 +53,17 @@
         if answer.status == 200:
             return OrderTaken(held=parse_held(found["held"]))
         return OrderRefused(detail=str(found["error"]))
-    except BAD_ANSWERS as error:
+    except CALL_ERRORS as error:
         return StreamBroken(detail=type(error).__name__)
 
 
 async def read_held(
     session: aiohttp.ClientSession, address: str
 ) -> Held | StreamBroken:
-    """Return what an engine says that it holds."""
+    """Return what an engine reports to hold."""
     timeout = aiohttp.ClientTimeout(total=SHORT_CALL_S)
     try:
         async with session.get(f"http://{address}/v1/held", timeout=timeout) as answer:
             return parse_held((await answer.json())["held"])
-    except BAD_ANSWERS as error:
+    except CALL_ERRORS as error:
         return StreamBroken(detail=type(error).__name__)
--- a/packages/instance/fulmarward/targets/_prefixes.py
+++ b/packages/instance/fulmarward/targets/_prefixes.py
@@ -1,24 +1,24 @@
-"""The names that engines give the prefixes of a prompt."""
+"""Hashes of prompt prefixes, equal to those that engines use for their caches."""
 
 import xxhash
 
-#: Words of one block; engines cache prefixes that end on a block.
+#: Words per block; engines cache prefixes that end at a block boundary.
 PREFIX_TOKENS = 16
 
-#: Blocks hashed of one prompt. Load: prompts of 100,000 words; harm: the loop stands
-#: still while they are hashed; reason: shared prefixes are shorter than 4,096 words.
-MOST_PREFIXES = 256
+#: Maximum blocks hashed per prompt. Hashing a prompt of 100,000 words whole would block
+#: the event loop. Shared prefixes are shorter than 4,096 words.
+MAX_PREFIXES = 256
 
 
 def hash_prefixes(prompt: str) -> tuple[str, ...]:
-    """Return the hashes that engines give a prompt's prefixes, the shortest first."""
-    words = prompt.split(None, MOST_PREFIXES * PREFIX_TOKENS)
-    hashing = xxhash.xxh64()
+    """Return the hashes of a prompt's prefixes, the shortest first."""
+    words = prompt.split(None, MAX_PREFIXES * PREFIX_TOKENS)
+    hasher = xxhash.xxh64()
     found = []
-    whole = min(len(words) // PREFIX_TOKENS, MOST_PREFIXES)
-    for block in range(whole):
+    block_count = min(len(words) // PREFIX_TOKENS, MAX_PREFIXES)
+    for block in range(block_count):
         start = block * PREFIX_TOKENS
         text = " ".join(words[start : start + PREFIX_TOKENS])
-        hashing.update((" " + text if block else text).encode())
-        found.append(hashing.hexdigest())
+        hasher.update((" " + text if block else text).encode())
+        found.append(hasher.hexdigest())
     return tuple(found)
--- a/packages/instance/fulmarward/targets/_reports.py
+++ b/packages/instance/fulmarward/targets/_reports.py
@@ -1,34 +1,34 @@
-"""What engines say of themselves: load, what they hold, their prefix caches."""
+"""Client for the reports of engines: load, what they hold, prefix-cache events."""
 
 from dataclasses import dataclass
 
 import aiohttp
 import orjson
 
-from fulmarward.targets._engine import BAD_ANSWERS, SHORT_CALL_S, StreamBroken
+from fulmarward.targets._engine import CALL_ERRORS, SHORT_CALL_S, StreamBroken
 from fulmarward_core.placement import Held, Wanted
 from fulmarward_core.routing import LoadReport
 
-#: Headers that a read does without: a fifth of its bytes.
-_NEEDLESS_HEADERS = ("Accept", "Accept-Encoding", "User-Agent")
+#: Default headers that are left out, which saves a fifth of the bytes of a read.
+_OMITTED_HEADERS = ("Accept", "Accept-Encoding", "User-Agent")
 
 
 @dataclass(frozen=True, kw_only=True)
 class EngineReport:
-    """An engine's own word about itself."""
+    """An engine's report of its own state."""
 
-    #: Its load, late by an unknown lag.
+    #: Its load, delayed by an unknown lag.
     load: LoadReport
-    #: Whether it says that it is leaving.
+    #: Whether it reports that it is leaving.
     is_leaving: bool
-    #: What it says that it holds.
+    #: What it reports to hold.
     held: Held
-    #: Bytes of the answer, headers included.
+    #: Bytes of the response, including headers.
     size: int
 
 
 def parse_held(body: dict) -> Held:
-    """Return what an engine holds; raises `KeyError` or `ValueError`."""
+    """Parse what an engine holds; raises `KeyError` or `ValueError`."""
     first, end = body["layers"]
     state = Wanted(
         model=body["model"],
@@ -41,7 +41,7 @@
 
 
 def measure_answer(answer: aiohttp.ClientResponse, body: bytes) -> int:
-    """Return the bytes of an answer, its headers included."""
+    """Return the bytes of a response, including its headers."""
     headers = sum(len(name) + len(value) + 4 for name, value in answer.raw_headers)
     return len(body) + headers
 
@@ -49,13 +49,13 @@
 async def read_load(
     session: aiohttp.ClientSession, address: str, *, now: float
 ) -> EngineReport | StreamBroken:
-    """Return the engine's load report and what else it says of itself."""
+    """Read the engine's load report, which includes what it holds."""
     timeout = aiohttp.ClientTimeout(total=SHORT_CALL_S)
     try:
         async with session.get(
             f"http://{address}/v1/load",
             timeout=timeout,
-            skip_auto_headers=_NEEDLESS_HEADERS,
+            skip_auto_headers=_OMITTED_HEADERS,
         ) as answer:
             text = await answer.read()
         body = orjson.loads(text)
@@ -68,17 +68,17 @@
             held=parse_held(body["held"]),
             size=measure_answer(answer, text),
         )
-    except BAD_ANSWERS as error:
+    except CALL_ERRORS as error:
         return StreamBroken(detail=type(error).__name__)
 
 
 @dataclass(frozen=True, kw_only=True)
 class CacheEvents:
-    """What an engine published about its prefix cache, late and with gaps."""
+    """Events of an engine's prefix cache, which arrive late and with gaps."""
 
-    #: Events as (sequence, whether stored, prefix), in the order of their sequence.
+    #: Events as (sequence, whether stored, prefix), ordered by sequence.
     events: tuple[tuple[int, bool, str], ...]
-    #: Bytes of the answer, headers included.
+    #: Bytes of the response, including headers.
     size: int
 
 
@@ -93,7 +93,7 @@
             url,
             params={"after": str(after)},
             timeout=timeout,
-            skip_auto_headers=_NEEDLESS_HEADERS,
+            skip_auto_headers=_OMITTED_HEADERS,
         ) as answer:
             text = await answer.read()
         events = tuple(
@@ -101,5 +101,5 @@
             for item in orjson.loads(text)["events"]
         )
         return CacheEvents(events=events, size=measure_answer(answer, text))
-    except BAD_ANSWERS as error:
+    except CALL_ERRORS as error:
         return StreamBroken(detail=type(error).__name__)
--- a/packages/instance/fulmarward/targets/_service.py
+++ b/packages/instance/fulmarward/targets/_service.py
@@ -1,4 +1,4 @@
-"""The one module that knows how plain services are called."""
+"""Client for plain services."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceOrder:
-    """A call that is passed through."""
+    """A call to pass on to a service."""
 
     #: HTTP method, path from `/` and query string.
     method: str
     path: str
     query: str
-    #: The body and its type.
     body: bytes
     content_type: str
     #: Id of the request, number of the attempt, name of the team.
@@ -24,28 +23,25 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceAnswer:
-    """The service's whole answer."""
+    """The complete response of the service."""
 
     #: HTTP status.
     status: int
-    #: The body and its type.
     body: bytes
     content_type: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceRefused:
-    """Nothing of the call was run."""
+    """The service did not run the call."""
 
-    #: What was seen.
     detail: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceUncertain:
-    """The call was sent and its answer was lost."""
+    """The call was sent and its response was lost, so it may have run."""
 
-    #: What was seen.
     detail: str
 
 
@@ -56,11 +52,11 @@
 async def _send_once(
     request: aiohttp.ClientRequest, send: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Have a lost connection end the call.
+    """Make a lost connection end the call instead of being retried by aiohttp.
 
-    Guards against the library itself, which sends a GET, PUT or DELETE again when the
-    connection is lost, as if any of them could run twice. It shows as two runs of one
-    attempt. The library repeats for errors of its own only, and this is none.
+    aiohttp resends a GET, PUT or DELETE when the connection is lost, although the call
+    may not be safe to repeat, so that one attempt runs twice. It retries only after
+    its own exceptions, so this raises a different one.
     """
     try:
         return await send(request)
@@ -78,9 +74,10 @@
     connect_s: float,
     timeout_s: float,
 ) -> ServiceAnswer | ServiceRefused | ServiceUncertain:
-    """Pass a call to the service at `address`, once.
+    """Send a call to the service at `address`, exactly once.
 
-    A service says with the header `X-Not-Run: 1` that it refused before it began.
+    A service sets the header `X-Not-Run: 1` on its response if it refused the call
+    without starting it.
     """
     query = f"?{order.query}" if order.query else ""
     headers = {
@@ -88,8 +85,8 @@
         "X-Attempt": str(order.attempt),
         "X-Team": order.team,
         "Content-Type": order.content_type or "application/octet-stream",
-        # A connection of its own: a kept one may be closed under the call, and
-        # then nobody could tell whether the call was run.
+        # Use a new connection: the service may close a kept-alive one during the
+        # call, which leaves open whether the call ran.
         "Connection": "close",
     }
     timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=connect_s)
--- a/packages/instance/fulmarward/targets/_steps.py
+++ b/packages/instance/fulmarward/targets/_steps.py
@@ -1,7 +1,7 @@
-"""The engines' protocol for layer pipelines: steps, their results, KV caches.
+"""Client for the layer-pipeline protocol of engines: steps, results, KV caches.
 
-As in `_engine`, "refused" is said only when the engine itself answered that it did
-not run the step, or when no connection was made; "broken" leaves it open.
+As in `_engine`, a "refused" result means that the engine replied that it did not run
+the step, or that no connection was made; "broken" leaves the outcome open.
 """
 
 from dataclasses import dataclass
@@ -11,12 +11,13 @@
 from fulmarward.targets._engine import SHORT_CALL_S, StreamBroken, StreamUnknown
 from fulmarward_core.streams import Stage
 
-#: Seconds for one step. Harm: a frozen stage holds its callers; reason: a later
-#: token's step takes some milliseconds, and one that takes longer is read back.
-STEP_S = 3.0
+#: Timeout of one step, in seconds, so that a frozen stage does not hold its callers. A
+#: step of a later token takes some milliseconds; the result of a slower one is read
+#: afterwards.
+STEP_TIMEOUT_S = 3.0
 
-#: The same for position 0, which reads the prompt and may be sent only once.
-FIRST_STEP_S = 10.0
+#: Timeout of position 0, which processes the prompt and may be sent only once.
+FIRST_STEP_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -26,45 +27,45 @@
     #: Id of the request and number of the attempt.
     request: str
     attempt: int
-    #: Name of the team, for the engine's records.
+    #: Name of the team, for the engine's logs.
     team: str
-    #: The driver's term; a stage refuses a step of an older driver than it knows.
+    #: The driver's term; a stage refuses steps with a term older than it has seen.
     term: int
     #: Name of the model, of the adapter, if any, and of the version that all stages
-    #: must hold; `None` where the attempt has begun and its caches are of one.
+    #: must hold; `None` once the attempt has started, whose caches share a version.
     model: str
     adapter: str | None
     version: str | None
     #: The token's position, from 0.
     position: int
-    #: First layer and the last, both included.
+    #: The first and the last layer, both inclusive.
     first_layer: int
     last_layer: int
-    #: What the stage before gave; opaque. Absent at position 0 of the first stage.
+    #: Output of the previous stage, opaque; `None` at position 0 of the first stage.
     input: object
-    #: Prompt and most tokens for the first and the last stage at position 0.
+    #: Prompt and token limit, sent to the first and the last stage at position 0.
     prompt: str | None
     max_tokens: int | None
 
 
 @dataclass(frozen=True, kw_only=True)
 class StepDone:
-    """What a step gave."""
+    """The result of a step."""
 
     #: The token's position.
     position: int
-    #: The value for the next stage; opaque.
+    #: The input of the next stage, opaque.
     output: object
-    #: The token's text and how the answer ends; empty but at the last stage.
+    #: The token's text and how the answer ends; set only by the last stage.
     text: str = ""
     end: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class StepRefused:
-    """The step was not run by this call."""
+    """This call did not run the step."""
 
-    #: What the engine said, or why there was no connection.
+    #: The engine's error, or the connection error.
     error: str
     #: Whether no connection could be made.
     is_unreachable: bool = False
@@ -79,8 +80,8 @@
     return StreamBroken(detail=name)
 
 
-#: What can go wrong in a call: no connection, a lost one, an answer not understood.
-_ERRORS = (aiohttp.ClientError, TimeoutError, ValueError, KeyError, TypeError)
+#: Raised by a call for connection errors and malformed responses.
+_CALL_ERRORS = (aiohttp.ClientError, TimeoutError, ValueError, KeyError, TypeError)
 
 
 def _make_timeout(total_s: float) -> aiohttp.ClientTimeout:
@@ -92,7 +93,7 @@
 ) -> StepDone | StepRefused | StreamBroken:
     """Run a step on the engine at `address`."""
     url = f"http://{address}/v1/steps"
-    total_s = STEP_S if order.position else FIRST_STEP_S
+    total_s = STEP_TIMEOUT_S if order.position else FIRST_STEP_TIMEOUT_S
     try:
         async with session.post(
             url, json=vars(order), timeout=_make_timeout(total_s)
@@ -101,11 +102,11 @@
             if response.status != 200:
                 return StepRefused(error=body["error"])
             return StepDone(**body)
-    except _ERRORS as error:
+    except _CALL_ERRORS as error:
         return _describe_error(error)
 
 
-def _name_cache(request: str, attempt: int, stage: Stage) -> str:
+def _format_cache_path(request: str, attempt: int, stage: Stage) -> str:
     return f"{request}/{attempt}/{stage.layers[0]}"
 
 
@@ -119,11 +120,11 @@
     after: int,
     term: int,
 ) -> tuple[StepDone, ...] | StreamUnknown | StreamBroken:
-    """Return what the steps after position `after` gave, and claim the attempt.
+    """Return the results of the steps after position `after`, and claim the attempt.
 
-    The claim keeps older drivers out: their steps and their closing are refused.
+    After the claim, steps and closes from drivers with an older term are refused.
     """
-    url = f"http://{address}/v1/steps/{_name_cache(request, attempt, stage)}"
+    url = f"http://{address}/v1/steps/{_format_cache_path(request, attempt, stage)}"
     try:
         async with session.get(
             url,
@@ -134,7 +135,7 @@
                 return StreamUnknown()
             body = await response.json()
             return tuple(StepDone(**item) for item in body["steps"])
-    except _ERRORS as error:
+    except _CALL_ERRORS as error:
         return StreamBroken(detail=type(error).__name__)
 
 
@@ -146,10 +147,10 @@
     attempt: int,
     term: int,
 ) -> str | StreamBroken:
-    """Refuse all later steps of an attempt, and free its caches.
+    """Close an attempt: free its caches and have all later steps refused.
 
-    An attempt that a driver with a newer `term` has claimed goes on: see
-    `cancel_stream`, whose guard is the same.
+    An attempt that a driver with a newer `term` has claimed stays open, for the reason
+    given for `only_reader` in `cancel_stream`.
     """
     url = f"http://{address}/v1/steps/{request}/{attempt}"
     params = {"term": str(term)}
@@ -158,7 +159,7 @@
             url, params=params, timeout=_make_timeout(SHORT_CALL_S)
         ) as response:
             return (await response.json())["state"]
-    except _ERRORS as error:
+    except _CALL_ERRORS as error:
         return StreamBroken(detail=type(error).__name__)
 
 
@@ -170,14 +171,14 @@
     attempt: int,
     stage: Stage,
 ) -> bytes | StepRefused | StreamBroken:
-    """Take a KV cache out of an engine, which refuses its steps from then on."""
-    url = f"http://{address}/v1/kv/{_name_cache(request, attempt, stage)}"
+    """Take a KV cache out of an engine, which then refuses further steps on it."""
+    url = f"http://{address}/v1/kv/{_format_cache_path(request, attempt, stage)}"
     try:
-        async with session.get(url, timeout=_make_timeout(STEP_S)) as response:
+        async with session.get(url, timeout=_make_timeout(STEP_TIMEOUT_S)) as response:
             if response.status != 200:
                 return StepRefused(error=f"status {response.status}")
             return await response.read()
-    except _ERRORS as error:
+    except _CALL_ERRORS as error:
         return _describe_error(error)
 
 
@@ -190,15 +191,15 @@
     attempt: int,
     stage: Stage,
 ) -> StepRefused | StreamBroken | None:
-    """Put a KV cache into an engine; `None` when it has it."""
-    url = f"http://{address}/v1/kv/{_name_cache(request, attempt, stage)}"
+    """Load a KV cache into an engine; return `None` on success."""
+    url = f"http://{address}/v1/kv/{_format_cache_path(request, attempt, stage)}"
     headers = {"Content-Type": "application/json"}
     try:
         async with session.put(
-            url, data=cache, headers=headers, timeout=_make_timeout(STEP_S)
+            url, data=cache, headers=headers, timeout=_make_timeout(STEP_TIMEOUT_S)
         ) as response:
             if response.status == 200:
                 return None
             return StepRefused(error=(await response.json())["error"])
-    except _ERRORS as error:
+    except _CALL_ERRORS as error:
         return _describe_error(error)
--- a/packages/instance/fulmarward/targets/_watch.py
+++ b/packages/instance/fulmarward/targets/_watch.py
@@ -1,4 +1,4 @@
-"""The task for each followed target that keeps its view fresh."""
+"""Monitors the followed targets: keeps views of their load and caches up to date."""
 
 import asyncio
 
@@ -24,18 +24,18 @@
 from fulmarward_core.membership import MemberState
 from fulmarward_core.routing import TargetView
 
-#: Seconds between two looks whether other targets have to be followed, because
-#: instances came or went. Load: 690 replaced a day; harm: 24 ms of one core for each
-#: choice among 4,100 targets; reason: a look costs nothing when nobody came or went.
-CHOOSE_EVERY_S = 5.0
+#: Seconds between checks whether the live instances have changed, which changes the
+#: targets to follow. With 690 instances replaced a day, each selection among 4,100
+#: targets takes 24 ms of one core; a check without a change costs nothing.
+SELECT_INTERVAL_S = 5.0
 
-#: Bytes of one question to an engine and of its answer's first line, as
-#: `scripts/bench health` measures.
+#: Bytes of a request to an engine plus the status line of the response, as measured by
+#: `scripts/bench health`.
 REQUEST_BYTES = 80
 
 
 def _list_instances(instance: Instance) -> dict[str, str]:
-    """Return the data centre of each instance that can follow targets."""
+    """Return the data centre of each live instance, by name, including this one."""
     found = {
         member.name: member.data_centre
         for member in instance.members.members.values()
@@ -45,10 +45,11 @@
 
 
 def update_views(instance: Instance) -> None:
-    """Make the views fit the declaration and the live instances.
+    """Update the set of views for the current declaration and live instances.
 
-    What is known of a target that stays is kept, and so is the view of one that has
-    requests of this instance. Plain services are all kept: nothing is polled of them.
+    Views of targets that stay are kept with their state, as are views of targets that
+    run requests of this instance. All plain services have a view, since they are not
+    polled.
     """
     declaration = instance.snapshot.declaration
     targets = declaration.targets
@@ -77,7 +78,7 @@
 
 
 def find_view(instance: Instance, name: str) -> TargetView | None:
-    """Return the view of a declared target, also of one that is not followed."""
+    """Return the view of a declared target, or a temporary one if not followed."""
     view = instance.views.get(name)
     target = instance.snapshot.declaration.targets.get(name)
     if view is None and target is not None:
@@ -112,15 +113,15 @@
 
 
 async def _watch_load(instance: Instance, view: TargetView, pacer: Pacer) -> None:
-    hurry = instance.report_hurries.setdefault(view.name, asyncio.Event())
+    report_requested = instance.report_hurries.setdefault(view.name, asyncio.Event())
     while _is_followed(instance, view):
-        hurry.clear()
+        report_requested.clear()
         await _read_report(instance, view, pacer)
         is_used = view.in_flight > 0
         seconds = draw_interval(instance.generator, is_used=is_used)
         try:
             async with asyncio.timeout(seconds):
-                await hurry.wait()
+                await report_requested.wait()
         except TimeoutError:
             continue
 
@@ -135,7 +136,7 @@
 async def _watch_target(
     instance: Instance, view: TargetView, reports: Pacer, events: Pacer
 ) -> None:
-    """Watch one engine until its view is replaced or dropped."""
+    """Monitor one engine until its view is replaced or removed."""
     async with asyncio.TaskGroup() as group:
         group.create_task(_watch_load(instance, view, reports))
         group.create_task(_watch_cache(instance, view, events))
@@ -144,10 +145,10 @@
 async def _wait_for_change(
     instance: Instance, changed: asyncio.Event, instances: dict[str, str]
 ) -> None:
-    """Wait until the declaration changes or an instance comes or goes."""
+    """Wait until the declaration or the set of live instances changes."""
     while _list_instances(instance) == instances:
         try:
-            async with asyncio.timeout(CHOOSE_EVERY_S):
+            async with asyncio.timeout(SELECT_INTERVAL_S):
                 await changed.wait()
             return
         except TimeoutError:
@@ -155,11 +156,11 @@
 
 
 async def follow_targets(instance: Instance) -> None:
-    """Keep one watching task for each followed engine of the declaration in force.
+    """Run one monitoring task for each followed engine of the current declaration.
 
-    The first views are made after the drains were read, so that an instance which
-    came after a drain never sends work to the drained target; when the platform is
-    out, peers tell of drains.
+    Drains are read before the first views are created, so that an instance that
+    started after a drain never sends work to the drained target. When the platform is
+    unavailable, peers report the drains.
     """
     reports = Pacer(bytes_per_s=REPORT_BYTES_PER_S)
     events = Pacer(bytes_per_s=EVENT_BYTES_PER_S)
@@ -183,7 +184,7 @@
 def _start_watching(
     instance: Instance, tasks: dict[str, asyncio.Task], reports: Pacer, events: Pacer
 ) -> None:
-    """Start the missing tasks and end those whose view is gone."""
+    """Start missing tasks and cancel those whose view was replaced or removed."""
     watched = {
         f"{name}@{id(view)}": view
         for name, view in instance.views.items()
