--- a/packages/instance/fulmarward/admission/__init__.py
+++ b/packages/instance/fulmarward/admission/__init__.py
@@ -1,4 +1,4 @@
-"""The state of admission that the tasks of one instance share."""
+"""Admission state shared by the tasks of one instance."""
 
 from fulmarward.admission._state import AdmissionState, Pool, find_pool
 
--- a/packages/instance/fulmarward/admission/_state.py
+++ b/packages/instance/fulmarward/admission/_state.py
@@ -1,4 +1,4 @@
-"""What waits and runs, by pool, and what is left of each team's share."""
+"""Queued and running requests by pool, and the token buckets of teams."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,32 +16,32 @@
 
 @dataclass(kw_only=True)
 class Pool:
-    """The engines of one model in the eyes of this instance."""
+    """Admission state of the engines of one model, as seen by this instance."""
 
     #: Requests that wait for a place.
     queue: FairQueue = field(default_factory=FairQueue)
     #: Requests that hold a place, by id.
     running: dict[str, Ticket] = field(default_factory=dict)
-    #: Where each waiting request hears of its turn: `None`, or why it has none.
+    #: By request id, completed with `None` on admission or with the refusal.
     turns: dict[str, asyncio.Future[Refusal | None]] = field(default_factory=dict)
-    #: Retries that may still be made.
+    #: The retry budget of the pool.
     budget: RetryBudget = field(default_factory=RetryBudget)
 
 
 @dataclass(kw_only=True)
 class AdmissionState:
-    """All pools and shares of one instance."""
+    """Admission state of all pools and teams of one instance."""
 
-    #: Pools by the name of their model.
+    #: Pools by model name.
     pools: dict[str, Pool] = field(default_factory=dict)
-    #: What is left of each team's share here, by team.
+    #: Token buckets of this instance by team.
     buckets: dict[str, Bucket] = field(default_factory=dict)
-    #: Lengths of answers by pipeline.
+    #: Statistics of answer lengths by pipeline.
     outputs: dict[str, Outputs] = field(default_factory=dict)
-    #: What was asked for here and elsewhere.
+    #: Demand at this instance and at others.
     demand: DemandTable = field(default_factory=DemandTable)
 
 
 def find_pool(state: AdmissionState, model: str) -> Pool:
-    """Return the pool of a model, which is made when it is first asked for."""
+    """Return the pool of a model, creating it on first use."""
     return state.pools.setdefault(model, Pool())
