--- a/packages/instance/fulmarward/answers/__init__.py
+++ b/packages/instance/fulmarward/answers/__init__.py
@@ -1,4 +1,4 @@
-"""Journals of answers: what the request's task writes and callers read."""
+"""Answers in memory, written by the request's task and read by callers."""
 
 from fulmarward.answers._answer import Answer
 
--- a/packages/instance/fulmarward/answers/_answer.py
+++ b/packages/instance/fulmarward/answers/_answer.py
@@ -1,4 +1,4 @@
-"""The journal of one answer, which callers read and the request's task writes."""
+"""The in-memory event log of one answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,43 +9,43 @@
 
 @dataclass(kw_only=True)
 class Answer:
-    """All events of one answer so far. Event N is `texts[N - 1]`.
+    """The events of one answer so far. Event N is `texts[N - 1]`.
 
-    The journal parts generating from reading: a slow or lost caller holds nothing
-    up, and a caller that comes back reads on from the event it has.
+    The log decouples generation from reading: a slow or disconnected caller blocks
+    nothing, and a caller that returns continues after its last event.
     """
 
-    #: Id of the request.
+    #: Request id.
     request: str
     #: Name of the team whose answer it is.
     team: str
-    #: Texts of the tokens.
     texts: list[str] = field(default_factory=list)
-    #: The sealed locator of the stream, empty before it is dispatched.
+    #: The sealed locator of the stream; empty until an attempt has one.
     locator: str = ""
-    #: Empty while it runs, then `stop` or `length`; a failed one has `failure`.
+    #: Empty while it runs, then `stop` or `length`; stays empty on failure.
     end: str = ""
-    #: Why there is no whole answer.
+    #: Why the answer is not complete, if it failed.
     failure: Failure | None = None
-    #: Events that the caller has and this journal lacks, and the digest of their texts.
-    #: A new attempt has to give them again before the answer goes on.
+    #: Number of events that the caller has and this log lacks, with the digest of their
+    #: texts. A new attempt must reproduce them before the answer continues.
     owed: int = 0
     owed_digest: str = ""
     #: Prompt tokens, as far as known.
     prompt_tokens: int = 0
-    #: Whether something of it may have been written to a target.
+    #: Whether any part of the request may have been sent to a target.
     is_dispatched: bool = False
     #: The task that writes it.
     task: asyncio.Task | None = None
-    #: Whether its caller can come back for it, by event id or key.
+    #: Whether the caller can resume it, by event id or idempotency key.
     may_return: bool = False
-    #: Whether a key holds it: it runs to its end, whoever reads it.
+    #: Whether it belongs to an idempotency key: it then runs to its end even without
+    #: readers.
     is_keyed: bool = False
-    #: Callers reading now.
+    #: Number of callers reading now.
     readers: int = 0
-    #: When the last reader left, seconds on the steady clock.
+    #: When the last reader left, in seconds on the monotonic clock.
     unread_since: float = 0.0
-    #: Told the number of tokens that came together.
+    #: Called with the number of tokens in each batch.
     on_texts: Callable[[int], None] | None = None
     #: Set and replaced at every change.
     changed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -60,23 +60,23 @@
         self.texts.extend(texts)
         if self.on_texts is not None:
             self.on_texts(len(texts))
-        self._announce()
+        self._wake_readers()
 
     def set_locator(self, locator: str) -> None:
-        """Say where the stream runs; the readers may now send their first bytes."""
+        """Set the stream's locator, after which readers may send their first bytes."""
         self.locator = locator
-        self._announce()
+        self._wake_readers()
 
     def finish(self, end: str) -> None:
-        """Say that the answer is whole."""
+        """Mark the answer as complete."""
         self.end = end
-        self._announce()
+        self._wake_readers()
 
     def fail(self, failure: Failure) -> None:
-        """Say why there is no whole answer."""
+        """End the answer with a failure."""
         self.failure = failure
-        self._announce()
+        self._wake_readers()
 
-    def _announce(self) -> None:
+    def _wake_readers(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
