--- a/packages/instance/fulmarward/answers/_answer.py
+++ b/packages/instance/fulmarward/answers/_answer.py
@@ -26,8 +26,9 @@
     end: str = ""
     #: Why the answer is not complete, if it failed.
     failure: Failure | None = None
-    #: Number of events that the caller has and this log lacks, with the digest of their
-    #: texts. A new attempt must reproduce them before the answer continues.
+    #: Number of events that the caller has, if this log lacks some of them, else 0; and
+    #: the digest of their texts. A new attempt must reproduce them before the answer
+    #: continues.
     owed: int = 0
     owed_digest: str = ""
     #: Prompt tokens, as far as known.
--- a/packages/instance/fulmarward/requests/_admit.py
+++ b/packages/instance/fulmarward/requests/_admit.py
@@ -38,7 +38,7 @@
 #: Minimum weight of a team in the fair queue, for teams without a purchased share.
 MIN_TEAM_WEIGHT = 1e-3
 
-#: Retry delay, in seconds, sent to a request that was dropped from the queue.
+#: Retry delay, in seconds, sent with the refusal of a queued request that expired.
 DROPPED_RETRY_S = 1.0
 
 
@@ -62,9 +62,9 @@
     the layers. The limits of stages are not measured, so their slots are used.
     """
     now = instance.read_clock()
-    whole = list_whole_model_views(instance, work)
-    if whole:
-        return measure_pool(whole, now=now)
+    whole_model_views = list_whole_model_views(instance, work)
+    if whole_model_views:
+        return measure_pool(whole_model_views, now=now)
     stages = list_engine_views(instance, work)
     layers = work.snapshot.declaration.models[work.pipeline.model].layers
     held = sum(view.target.layers[1] - view.target.layers[0] for view in stages)
@@ -153,9 +153,9 @@
     while ticket := pop_next(pool.queue, running=len(pool.running), places=places):
         note_wait(pool.queue, ticket, now=instance.read_clock())
         pool.running[ticket.request] = ticket
-        turn = pool.turns[ticket.request]
-        if not turn.done():
-            turn.set_result(None)
+        admission_future = pool.turns[ticket.request]
+        if not admission_future.done():
+            admission_future.set_result(None)
 
 
 def _refuse_expired(instance: Instance, pool: Pool) -> None:
@@ -163,14 +163,14 @@
     now = instance.read_clock()
     for ticket in drop_late(pool.queue, now=now):
         note_wait(pool.queue, ticket, now=now)
-        turn = pool.turns[ticket.request]
-        if not turn.done():
+        admission_future = pool.turns[ticket.request]
+        if not admission_future.done():
             refusal = Refusal(
                 code=ResultCode.DEADLINE_TOO_NEAR,
                 retry_after_s=DROPPED_RETRY_S,
                 wait_s=0.0,
             )
-            turn.set_result(refusal)
+            admission_future.set_result(refusal)
 
 
 def _settle_tokens(instance: Instance, ticket: Ticket, used: float) -> None:
@@ -217,11 +217,11 @@
     if isinstance(result, Refusal):
         yield _make_failure(result)
         return
-    turn = asyncio.get_running_loop().create_future()
-    pending.pool.turns[result.request] = turn
+    admission_future = asyncio.get_running_loop().create_future()
+    pending.pool.turns[result.request] = admission_future
     try:
         _start_waiting(instance, work)
-        refusal = await turn
+        refusal = await admission_future
         if refusal is not None:
             _log_decision(instance, pending, refusal)
         yield None if refusal is None else _make_failure(refusal)
--- a/packages/instance/fulmarward/requests/_attempt.py
+++ b/packages/instance/fulmarward/requests/_attempt.py
@@ -35,7 +35,7 @@
 #: idempotent. The limit keeps a dead, frozen or looping engine from holding its
 #: callers. Idempotent work can run on another engine; other work is lost with its
 #: stream, so it gets some seconds more. Progress resets the count.
-MOST_REATTACHES = {True: 2, False: 4}
+MAX_REATTACHES = {True: 2, False: 4}
 
 #: Seconds that the next attempt waits for the old stream to be closed. A longer wait
 #: would make callers of a frozen engine wait twice. The close continues in the
@@ -62,12 +62,14 @@
 
     view: TargetView
     #: Earliest time at which it can have been sent, in seconds on the monotonic clock.
-    ordered_at: float
+    earliest_sent_at: float
 
 
-def _make_attempt(number: int, view: TargetView, ordered_at: float) -> _Attempt:
+def _make_attempt(number: int, view: TargetView, earliest_sent_at: float) -> _Attempt:
     stage = Stage(target=view.name, layers=view.target.layers)
-    return _Attempt(number=number, stages=(stage,), view=view, ordered_at=ordered_at)
+    return _Attempt(
+        number=number, stages=(stage,), view=view, earliest_sent_at=earliest_sent_at
+    )
 
 
 def _make_order(instance: Instance, work: Work, attempt: int) -> StreamOrder:
@@ -172,7 +174,7 @@
 ) -> Failure | None:
     """Copy events into the answer, reconnecting when the connection is lost."""
     failures = 0
-    max_reattaches = MOST_REATTACHES[work.idempotent]
+    max_reattaches = MAX_REATTACHES[work.idempotent]
     while failures <= max_reattaches and not isinstance(stream, StreamUnknown):
         received, began = attempt.received, instance.read_clock()
         if isinstance(stream, EngineStream):
@@ -224,7 +226,7 @@
         attempt.view.target.address,
         request=work.request,
         attempt=attempt.number,
-        age_s=instance.read_clock() - attempt.ordered_at,
+        age_s=instance.read_clock() - attempt.earliest_sent_at,
     )
 
 
--- a/packages/instance/fulmarward/requests/_chain_calls.py
+++ b/packages/instance/fulmarward/requests/_chain_calls.py
@@ -70,14 +70,14 @@
 
 def _make_calls(instance: Instance, work: Work, attempt: ChainProgress) -> StageCalls:
     async def run(
-        stage: Stage, order: StepOrder
+        stage: Stage, step_request: StepOrder
     ) -> StepDone | StepRefused | StreamBroken:
         address = find_address(instance, stage)
         if address is None:
             return StepRefused(error="the target is no longer declared")
         began = instance.read_clock()
-        outcome = await run_step(instance.session, address, order)
-        if isinstance(outcome, StepDone) and order.position > 0:
+        outcome = await run_step(instance.session, address, step_request)
+        if isinstance(outcome, StepDone) and step_request.position > 0:
             _measure_step(instance, stage, began)
         return outcome
 
--- a/packages/instance/fulmarward/requests/_execute.py
+++ b/packages/instance/fulmarward/requests/_execute.py
@@ -50,7 +50,7 @@
     try:
         async with asyncio.timeout(max(timeout_s, 0.0)):
             async with admit_work(instance, work) as refusal:
-                failure = refusal or await try_targets(
+                failure = refusal or await run_attempts(
                     instance, work, answer, 1, confirm
                 )
     except TimeoutError:
@@ -68,7 +68,7 @@
     return make_failure(ResultCode.DEADLINE_TOO_NEAR)
 
 
-async def try_targets(
+async def run_attempts(
     instance: Instance,
     work: Work,
     answer: Answer,
--- a/packages/instance/fulmarward/requests/_move.py
+++ b/packages/instance/fulmarward/requests/_move.py
@@ -38,19 +38,19 @@
     if isinstance(cache, StreamBroken):
         return cache
     for place, outcome in ((moved, moved), (stage, None)):
-        if await _put_cache(instance, place, cache, request, attempt):
+        if await _import_cache_at(instance, place, cache, request, attempt):
             return outcome
     return StreamBroken(detail="the KV cache was lost during its migration")
 
 
-async def _put_cache(
+async def _import_cache_at(
     instance: Instance, stage: Stage, cache: bytes, request: str, attempt: int
 ) -> bool:
     """Import a cache; return whether the target has it, even if the reply was lost."""
     address = find_address(instance, stage)
-    names = {"request": request, "attempt": attempt, "stage": stage}
-    outcome = await import_cache(instance.session, address, cache, **names)
+    cache_key = {"request": request, "attempt": attempt, "stage": stage}
+    outcome = await import_cache(instance.session, address, cache, **cache_key)
     if outcome is None:
         return True
-    found = await read_steps(instance.session, address, after=0, term=0, **names)
+    found = await read_steps(instance.session, address, after=0, term=0, **cache_key)
     return isinstance(found, tuple)
--- a/packages/instance/fulmarward/requests/_resume.py
+++ b/packages/instance/fulmarward/requests/_resume.py
@@ -6,7 +6,7 @@
 from fulmarward.answers import Answer
 from fulmarward.requests._attempt import attach_attempt
 from fulmarward.requests._chain import attach_chain
-from fulmarward.requests._execute import describe_timeout, try_targets
+from fulmarward.requests._execute import describe_timeout, run_attempts
 from fulmarward.requests._work import Work
 from fulmarward.targets import find_view
 from fulmarward_core.requests import choose_failure
@@ -61,7 +61,7 @@
     if is_incomplete:
         answer.owed, answer.owed_digest = event.number, event.digest
     first = instance.generator.randrange(FIRST_RESUMED_ATTEMPT, END_RESUMED_ATTEMPT)
-    later = await try_targets(instance, work, answer, first)
+    later = await run_attempts(instance, work, answer, first)
     return later and choose_failure(lost, later)
 
 
--- a/packages/instance/fulmarward/requests/tests/test_drive.py
+++ b/packages/instance/fulmarward/requests/tests/test_drive.py
@@ -29,44 +29,53 @@
 _PROMPT = "cast [4 tokens]"
 
 #: Possible outcomes of a call, drawn by the property test.
-_OUTCOMES = ["done", "done", "done", "lost", "lost_reply", "late", "restart", "refused"]
+_CALL_OUTCOMES = [
+    "done",
+    "done",
+    "done",
+    "lost",
+    "lost_reply",
+    "late",
+    "restart",
+    "refused",
+]
 
 
 class _FaultyStages:
     """The stand-in's step state behind calls that fail as drawn."""
 
-    def __init__(self, fates):
-        self.fates = iter(fates)
+    def __init__(self, call_outcomes):
+        self.call_outcomes = iter(call_outcomes)
         self.states = {stage.target: StepState(ledger=[]) for stage in _STAGES}
         self.late = []
 
-    async def run_step(self, stage, order):
-        fate = next(self.fates, "done")
+    async def run_step(self, stage, step_request):
+        call_outcome = next(self.call_outcomes, "done")
         await asyncio.sleep(0)
-        if fate == "lost":
+        if call_outcome == "lost":
             return StreamBroken(detail="lost")
-        if fate == "refused":
+        if call_outcome == "refused":
             return StepRefused(error="ClientConnectorError", is_unreachable=True)
-        if fate == "late":
-            self.late.append((stage, order))
+        if call_outcome == "late":
+            self.late.append((stage, step_request))
             return StreamBroken(detail="late")
-        if fate == "restart":
+        if call_outcome == "restart":
             ledger = self.states[stage.target].ledger
             self.states[stage.target] = StepState(ledger=ledger)
-        outcome = self.run_without_faults(stage, order)
-        return StreamBroken(detail="lost") if fate == "lost_reply" else outcome
+        outcome = self.run_without_faults(stage, step_request)
+        return StreamBroken(detail="lost") if call_outcome == "lost_reply" else outcome
 
-    def run_without_faults(self, stage, order):
+    def run_without_faults(self, stage, step_request):
         state = self.states[stage.target]
-        result = run_step(state, vars(order))
+        result = run_step(state, vars(step_request))
         if isinstance(result, StepRefusal):
             return StepRefused(error=result.error)
-        return StepDone(**describe_steps(state, result, order.position - 1)[0])
+        return StepDone(**describe_steps(state, result, step_request.position - 1)[0])
 
     async def read_steps(self, stage, after):
-        fate = next(self.fates, "done")
+        call_outcome = next(self.call_outcomes, "done")
         await asyncio.sleep(0)
-        if fate in ("lost", "lost_reply"):
+        if call_outcome in ("lost", "lost_reply"):
             return StreamBroken(detail="lost")
         state = self.states[stage.target]
         cache = state.caches.get(("r", 1, stage.layers[0]))
@@ -133,14 +142,14 @@
 
 
 class DriveTest(unittest.TestCase):
-    @given(st.lists(st.sampled_from(_OUTCOMES), max_size=60), st.integers(0, 2))
-    def test_no_layer_runs_twice_under_call_failures(self, fates, drivers):
+    @given(st.lists(st.sampled_from(_CALL_OUTCOMES), max_size=60), st.integers(0, 2))
+    def test_no_layer_runs_twice_under_call_failures(self, call_outcomes, drivers):
         # Calls and replies are lost or arrive late, and stages restart without their
         # caches. Further drivers (the first was suspended and resumed) take over the
         # attempt at the position of its last stage, some with an equal term. Every
         # layer runs once per token, and each driver outputs a prefix of the right
         # answer, or all of it.
-        stages = _FaultyStages(fates)
+        stages = _FaultyStages(call_outcomes)
 
         async def drive_all():
             first = asyncio.ensure_future(_drive(stages, 0))
@@ -148,8 +157,8 @@
             return await asyncio.gather(first, *later)
 
         outcomes = asyncio.run(drive_all())
-        for stage, order in stages.late:
-            stages.run_without_faults(stage, order)
+        for stage, step_request in stages.late:
+            stages.run_without_faults(stage, step_request)
         _check_ledgers(self, stages)
         right = answer_tokens(_PROMPT, 100, 24)
         for texts, lost in outcomes:
@@ -165,9 +174,9 @@
             (["done"] + ["refused", "lost"] * 9, "ClientConnectorError", True, False),
             (["done"], "closed", False, True),
         ]
-        for fates, detail, may_have_run, is_closed in cases:
-            with self.subTest(fates=fates):
-                stages = _FaultyStages(fates)
+        for call_outcomes, detail, may_have_run, is_closed in cases:
+            with self.subTest(call_outcomes=call_outcomes):
+                stages = _FaultyStages(call_outcomes)
                 if is_closed:
                     close_attempt(stages.states["t0"], ("r", 1))
                 _, lost = asyncio.run(_drive(stages, 0))
--- a/packages/instance/fulmarward/requests/tests/test_resume.py
+++ b/packages/instance/fulmarward/requests/tests/test_resume.py
@@ -145,10 +145,10 @@
                 )
                 await first.read()
             self.assertFalse(first.is_whole)
-            false_id = re.sub("~[0-9a-f]{8}", "~00000000", first.last_event_id)
-            told = await read_whole(fleet, "i2", prompt, last_event_id=false_id)
-            self.assertEqual(told.texts, [])
-            self.assertEqual(json.loads(told.events[-1].data)["ran"], "failed")
+            wrong_id = re.sub("~[0-9a-f]{8}", "~00000000", first.last_event_id)
+            refused = await read_whole(fleet, "i2", prompt, last_event_id=wrong_id)
+            self.assertEqual(refused.texts, [])
+            self.assertEqual(json.loads(refused.events[-1].data)["ran"], "failed")
             rest = await read_whole(
                 fleet, "i2", prompt, last_event_id=first.last_event_id
             )
@@ -207,8 +207,8 @@
         # instance with the event id alone. It is told that the stream is lost, and
         # nothing runs again.
         prompt = "keyed [40 tokens]"
-        told = await fleet.call("i1", "/discovery")
-        key = told.body["idempotency_key_prefix"] + ".lost"
+        discovery = await fleet.call("i1", "/discovery")
+        key = discovery.body["idempotency_key_prefix"] + ".lost"
         for name in ("e1", "e2"):
             await fleet.control_target(name, fail_at_token=20)
         stream = await read_whole(fleet, "i1", prompt, headers={"Idempotency-Key": key})
--- a/packages/instance/fulmarward/targets/_engine.py
+++ b/packages/instance/fulmarward/targets/_engine.py
@@ -206,7 +206,7 @@
     another instance: the first instance sees its caller gone and would cancel what
     the second one reads. Only the engine knows both readers.
 
-    `age_s` is the longest time since the stream can have been requested. An engine
+    `age_s` is the longest time for which the stream can have existed. An engine
     that was restarted since then does not know what it ran before, so its
     `closed_before_start` proves nothing and is returned as `StreamBroken`.
     """
