--- a/packages/instance/fulmarward/requests/tests/test_drive.py
+++ b/packages/instance/fulmarward/requests/tests/test_drive.py
@@ -28,45 +28,54 @@
 )
 _PROMPT = "cast [4 tokens]"
 
-#: What can become of a call.
-_FATES = ["done", "done", "done", "lost", "lost_reply", "late", "restart", "refused"]
-
-
-class _Stages:
-    """The stand-in's own steps behind calls that fail as drawn."""
-
-    def __init__(self, fates):
-        self.fates = iter(fates)
+#: Possible outcomes of a call, drawn by the property test.
+_CALL_OUTCOMES = [
+    "done",
+    "done",
+    "done",
+    "lost",
+    "lost_reply",
+    "late",
+    "restart",
+    "refused",
+]
+
+
+class _FaultyStages:
+    """The stand-in's step state behind calls that fail as drawn."""
+
+    def __init__(self, call_outcomes):
+        self.call_outcomes = iter(call_outcomes)
         self.states = {stage.target: StepState(ledger=[]) for stage in _STAGES}
         self.late = []
 
-    async def run_step(self, stage, order):
-        fate = next(self.fates, "done")
+    async def run_step(self, stage, step_request):
+        call_outcome = next(self.call_outcomes, "done")
         await asyncio.sleep(0)
-        if fate == "lost":
+        if call_outcome == "lost":
             return StreamBroken(detail="lost")
-        if fate == "refused":
+        if call_outcome == "refused":
             return StepRefused(error="ClientConnectorError", is_unreachable=True)
-        if fate == "late":
-            self.late.append((stage, order))
+        if call_outcome == "late":
+            self.late.append((stage, step_request))
             return StreamBroken(detail="late")
-        if fate == "restart":
+        if call_outcome == "restart":
             ledger = self.states[stage.target].ledger
             self.states[stage.target] = StepState(ledger=ledger)
-        outcome = self.run_now(stage, order)
-        return StreamBroken(detail="lost") if fate == "lost_reply" else outcome
+        outcome = self.run_without_faults(stage, step_request)
+        return StreamBroken(detail="lost") if call_outcome == "lost_reply" else outcome
 
-    def run_now(self, stage, order):
+    def run_without_faults(self, stage, step_request):
         state = self.states[stage.target]
-        result = run_step(state, vars(order))
+        result = run_step(state, vars(step_request))
         if isinstance(result, StepRefusal):
             return StepRefused(error=result.error)
-        return StepDone(**describe_steps(state, result, order.position - 1)[0])
+        return StepDone(**describe_steps(state, result, step_request.position - 1)[0])
 
     async def read_steps(self, stage, after):
-        fate = next(self.fates, "done")
+        call_outcome = next(self.call_outcomes, "done")
         await asyncio.sleep(0)
-        if fate in ("lost", "lost_reply"):
+        if call_outcome in ("lost", "lost_reply"):
             return StreamBroken(detail="lost")
         state = self.states[stage.target]
         cache = state.caches.get(("r", 1, stage.layers[0]))
@@ -98,7 +107,7 @@
 
 
 async def _attach(stages, term, first):
-    """Go on with what another driver began, once it has given a token out."""
+    """Take over the attempt of another driver once its last stage has a token."""
     while not first.done():
         found = await stages.read_steps(_STAGES[-1], -1)
         if isinstance(found, tuple) and found:
@@ -108,7 +117,7 @@
             for state in stages.states.values():
                 claim_attempt(state, ("r", 1), term)
             return await _drive(stages, term, texts, found[-1].output)
-    return [], "nothing to go on with"
+    return [], "no token to continue from"
 
 
 async def _drive(stages, term, texts=(), value=None):
@@ -133,14 +142,14 @@
 
 
 class DriveTest(unittest.TestCase):
-    @given(st.lists(st.sampled_from(_FATES), max_size=60), st.integers(0, 2))
-    def test_no_layer_runs_twice_whatever_becomes_of_calls(self, fates, drivers):
-        # Calls and replies are lost, arrive late, stages restart without their
-        # caches; and further drivers (the first was frozen and woke) go on with the
-        # attempt from where its last stage is, some with an equal term. Every layer
-        # runs once for a token, and what a driver gives out is the right answer's
-        # beginning, or all of it.
-        stages = _Stages(fates)
+    @given(st.lists(st.sampled_from(_CALL_OUTCOMES), max_size=60), st.integers(0, 2))
+    def test_no_layer_runs_twice_under_call_failures(self, call_outcomes, drivers):
+        # Calls and replies are lost or arrive late, and stages restart without their
+        # caches. Further drivers (the first was suspended and resumed) take over the
+        # attempt at the position of its last stage, some with an equal term. Every
+        # layer runs once per token, and each driver outputs a prefix of the right
+        # answer, or all of it.
+        stages = _FaultyStages(call_outcomes)
 
         async def drive_all():
             first = asyncio.ensure_future(_drive(stages, 0))
@@ -148,26 +157,26 @@
             return await asyncio.gather(first, *later)
 
         outcomes = asyncio.run(drive_all())
-        for stage, order in stages.late:
-            stages.run_now(stage, order)
+        for stage, step_request in stages.late:
+            stages.run_without_faults(stage, step_request)
         _check_ledgers(self, stages)
         right = answer_tokens(_PROMPT, 100, 24)
         for texts, lost in outcomes:
             self.assertEqual(texts, right[: len(texts)])
             self.assertTrue(lost or len(texts) == len(right))
 
-    def test_what_is_not_run_is_known_and_a_closed_attempt_ends(self):
-        # Only an attempt of which nothing can have run may be told "not run"; one
-        # that another driver closed must not be followed by a new one.
+    def test_loss_reports_what_may_have_run_and_closed_attempts(self):
+        # Only an attempt of which nothing can have run may be reported as not run. An
+        # attempt that another driver closed must not be followed by a new one.
         cases = [
             (["refused"] * 9, "ClientConnectorError", False, False),
             (["lost"] * 9, "lost", True, False),
             (["done"] + ["refused", "lost"] * 9, "ClientConnectorError", True, False),
             (["done"], "closed", False, True),
         ]
-        for fates, detail, may_have_run, is_closed in cases:
-            with self.subTest(fates=fates):
-                stages = _Stages(fates)
+        for call_outcomes, detail, may_have_run, is_closed in cases:
+            with self.subTest(call_outcomes=call_outcomes):
+                stages = _FaultyStages(call_outcomes)
                 if is_closed:
                     close_attempt(stages.states["t0"], ("r", 1))
                 _, lost = asyncio.run(_drive(stages, 0))
