--- a/packages/core/fulmarward_core/declaration/__init__.py
+++ b/packages/core/fulmarward_core/declaration/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' declaration: what the fleet shall serve, applied as a whole."""
+"""The operators' declaration: what the fleet serves. It is applied as a whole."""
 
 from fulmarward_core.declaration._parse import SECTIONS, parse_declaration
 from fulmarward_core.declaration._parts import (
--- a/packages/core/fulmarward_core/declaration/_parse.py
+++ b/packages/core/fulmarward_core/declaration/_parse.py
@@ -1,4 +1,4 @@
-"""Reading a declaration, and refusing one that is wrong anywhere."""
+"""Parses a declaration; one with any fault is rejected as a whole."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from typing import Any
@@ -31,7 +31,7 @@
     Urgency,
 )
 
-#: The sections of a declaration; each is hashed and sent on its own.
+#: The sections of a declaration; each is hashed and sent separately.
 SECTIONS = (
     "data_centres",
     "links",
@@ -148,7 +148,7 @@
 
 
 def parse_declaration(value: object) -> Declaration | tuple[Fault, ...]:
-    """Return the declaration in the JSON `value`, or every fault it has."""
+    """Return the declaration parsed from the JSON `value`, or all of its faults."""
     faults: list[Fault] = []
     declaration = _READ_DECLARATION(value, "", faults)
     faults.extend(_find_broken_references(declaration or _read_leniently(value)))
@@ -156,24 +156,25 @@
 
 
 def _read_leniently(value: object) -> Declaration:
-    """Return what can be read of a faulty declaration, `None` for each faulty entry.
+    """Return the valid entries of a faulty declaration, with `None` for faulty ones.
 
-    Guards against faults that show only after others are mended: references are
-    checked among all entries that can be read, and to the names of those that cannot.
+    Lets one attempt report all faults. Otherwise, an operator sees broken references
+    only after correcting every other fault. References are checked in all valid
+    entries; a reference to a faulty entry counts as resolved.
     """
     sections = value if isinstance(value, dict) else {}
-    read = {
+    parsed = {
         name: field.read(sections.get(name), name, [])
         for name, field in _SECTION_FIELDS.items()
     }
-    return Declaration(**{name: found or {} for name, found in read.items()})
+    return Declaration(**{name: section or {} for name, section in parsed.items()})
 
 
-def _list_readable(section: Mapping[str, Any]) -> list[tuple[str, Any]]:
+def _list_valid(section: Mapping[str, Any]) -> list[tuple[str, Any]]:
     return [(name, entry) for name, entry in section.items() if entry is not None]
 
 
-def _find_unknown(
+def _find_undeclared(
     names: Iterable[str], known: Iterable[str], where: str, kind: str
 ) -> Iterator[Fault]:
     for name in names:
@@ -194,72 +195,72 @@
         if link is None:
             continue
         where = f"links[{index}].between"
-        yield from _find_unknown(
+        yield from _find_undeclared(
             link.between, declaration.data_centres, where, "data centre"
         )
 
 
 def _check_teams(declaration: Declaration) -> Iterator[Fault]:
-    owners: dict[str, str] = {}
-    for name, team in _list_readable(declaration.teams):
+    teams_by_digest: dict[str, str] = {}
+    for name, team in _list_valid(declaration.teams):
         where = f"teams.{name}"
-        yield from _find_unknown(
+        yield from _find_undeclared(
             team.pipelines, declaration.pipelines, f"{where}.pipelines", "pipeline"
         )
-        yield from _find_unknown(
+        yield from _find_undeclared(
             team.services, declaration.services, f"{where}.services", "service"
         )
         for digest in team.key_digests:
-            owner = owners.setdefault(digest, name)
-            if owner != name:
+            first_team = teams_by_digest.setdefault(digest, name)
+            if first_team != name:
                 yield Fault(
                     where=f"{where}.key_digests",
                     expected="a key of this team alone",
-                    found=f"a key of team {owner}",
+                    found=f"a key of team {first_team}",
                 )
 
 
 def _check_models(declaration: Declaration) -> Iterator[Fault]:
-    for name, model in _list_readable(declaration.models):
-        yield from _find_unknown(
+    for name, model in _list_valid(declaration.models):
+        yield from _find_undeclared(
             [model.serving], model.versions, f"models.{name}.serving", "version"
         )
 
 
 def _check_pipelines(declaration: Declaration) -> Iterator[Fault]:
-    for name, pipeline in _list_readable(declaration.pipelines):
+    for name, pipeline in _list_valid(declaration.pipelines):
         where = f"pipelines.{name}"
-        yield from _find_unknown(
+        yield from _find_undeclared(
             [pipeline.model], declaration.models, f"{where}.model", "model"
         )
         model = declaration.models.get(pipeline.model)
         if model is not None and pipeline.adapter is not None:
-            yield from _find_unknown(
+            yield from _find_undeclared(
                 [pipeline.adapter], model.adapters, f"{where}.adapter", "adapter"
             )
 
 
 def _check_targets(declaration: Declaration) -> Iterator[Fault]:
-    for name, target in _list_readable(declaration.targets):
+    for name, target in _list_valid(declaration.targets):
         where = f"targets.{name}"
-        yield from _find_unknown(
+        yield from _find_undeclared(
             [target.data_centre],
             declaration.data_centres,
             f"{where}.data_centre",
             "data centre",
         )
         if target.kind is TargetKind.SERVICE:
-            yield from _find_unknown(
+            yield from _find_undeclared(
                 [target.serves], declaration.services, f"{where}.serves", "service"
             )
             continue
-        yield from _find_unknown(
+        yield from _find_undeclared(
             [target.serves], declaration.models, f"{where}.serves", "model"
         )
-        yield from _check_layers(declaration, where, target)
+        yield from _check_layer_range(declaration, where, target)
 
 
-def _check_layers(
+def _check_layer_range(
     declaration: Declaration, where: str, target: Target
 ) -> Iterator[Fault]:
     model = declaration.models.get(target.serves)
--- a/packages/core/fulmarward_core/declaration/_parts.py
+++ b/packages/core/fulmarward_core/declaration/_parts.py
@@ -1,7 +1,8 @@
-"""The parts in which a declaration is stored and sent, each under its own hash.
+"""Splits a declaration into parts that are stored and sent under their own hashes.
 
-A section with few entries is one part. A large one is split by the hash of its
-entries' names, so that a change of one target moves one part and the manifest.
+A small section is one part. The entries of a large section are distributed over
+parts by the hashes of their names, so that changing one target transfers only one
+part and the manifest.
 """
 
 import hashlib
@@ -11,23 +12,23 @@
 
 from fulmarward_core.declaration._parse import SECTIONS
 
-#: Entries of a section for each of its parts, at most on average. Load: 2,100 changes
-#: a day of a file with 4,100 targets and 550 teams; harm: the targets alone are 0.8 MB
-#: and sent whole take five times the budget of 4 KB/s; reason: the changed part and
-#: the manifest with all parts' hashes are then about as large as each other.
-PART_ENTRIES = 64
+#: Maximum average number of entries in a part of a section. A declaration with 4,100
+#: targets and 550 teams changes 2,100 times a day. The targets alone are 0.8 MB, and
+#: sending them whole takes five times the budget of 4 KB/s. With 64 entries, a part is
+#: about as large as the manifest with the hashes of all parts.
+ENTRIES_PER_PART = 64
 
-#: Most parts that a manifest may name, against a damaged one.
-MOST_PARTS = 8_192
+#: Maximum number of parts in a manifest; a damaged one may name more.
+MAX_PARTS = 8_192
 
 
 @dataclass(frozen=True, kw_only=True)
 class SplitDeclaration:
-    """A declaration as it is stored: a manifest and the bodies of its parts."""
+    """A declaration in its stored form: a manifest and the bodies of its parts."""
 
-    #: Hash of the manifest; it stands for the whole content.
+    #: Hash of the manifest; it identifies the whole content.
     content_hash: str
-    #: The manifest and every part by content hash.
+    #: The manifest and all parts, by content hash.
     bodies: Mapping[str, bytes]
 
 
@@ -37,29 +38,29 @@
 
 
 def split_declaration(value: Mapping[str, object]) -> SplitDeclaration:
-    """Return the parts of a declaration; equal content gives equal parts."""
+    """Split a declaration into parts; equal content gives equal parts."""
     parts = {
-        name: _render(part)
+        name: _encode_json(part)
         for section, entries in value.items()
         for name, part in _split_section(section, entries).items()
     }
-    manifest = _render({name: hash_body(body) for name, body in parts.items()})
+    manifest = _encode_json({name: hash_body(body) for name, body in parts.items()})
     bodies = {hash_body(body): body for body in [manifest, *parts.values()]}
     return SplitDeclaration(content_hash=hash_body(manifest), bodies=bodies)
 
 
 def hash_declaration(value: Mapping[str, object]) -> str:
-    """Return the content hash of a declaration, the same for equal content."""
+    """Return the content hash of a declaration; equal content gives equal hashes."""
     return split_declaration(value).content_hash
 
 
 def read_manifest(body: bytes) -> dict[str, str] | None:
-    """Return the hashes of the parts by part name, or `None` for no manifest."""
+    """Return part hashes by part name, or `None` if `body` is no valid manifest."""
     try:
         manifest = json.loads(body)
     except ValueError:
         return None
-    if not isinstance(manifest, dict) or len(manifest) > MOST_PARTS:
+    if not isinstance(manifest, dict) or len(manifest) > MAX_PARTS:
         return None
     for name, content_hash in manifest.items():
         if name.partition("/")[0] not in SECTIONS or not isinstance(content_hash, str):
@@ -70,7 +71,7 @@
 def join_declaration(
     manifest: Mapping[str, str], bodies: Mapping[str, bytes]
 ) -> dict[str, object] | None:
-    """Return the JSON value that was split, or `None` when the parts do not fit."""
+    """Return the original JSON value, or `None` if a part is missing or damaged."""
     value: dict[str, object] = {}
     try:
         for name, content_hash in manifest.items():
@@ -85,14 +86,14 @@
     return value
 
 
-def _render(value: object) -> bytes:
+def _encode_json(value: object) -> bytes:
     return json.dumps(value, sort_keys=True, separators=(",", ":")).encode()
 
 
 def _split_section(section: str, entries: object) -> dict[str, object]:
-    if not isinstance(entries, Mapping) or len(entries) <= PART_ENTRIES:
+    if not isinstance(entries, Mapping) or len(entries) <= ENTRIES_PER_PART:
         return {section: entries}
-    count = 1 << ((len(entries) - 1) // PART_ENTRIES).bit_length()
+    count = 1 << ((len(entries) - 1) // ENTRIES_PER_PART).bit_length()
     parts: dict[str, dict] = {}
     for name, entry in entries.items():
         digest = hashlib.blake2b(name.encode(), digest_size=4).digest()
--- a/packages/core/fulmarward_core/declaration/_types.py
+++ b/packages/core/fulmarward_core/declaration/_types.py
@@ -1,4 +1,4 @@
-"""The types of a declaration. All are immutable; a change is a new declaration."""
+"""Immutable types of a declaration. Any change makes a new declaration."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class Urgency(IntEnum):
-    """How soon an answer is needed; a lower number goes first."""
+    """Priority of a request; a lower value is served first."""
 
     URGENT = 0
     NORMAL = 1
@@ -14,7 +14,7 @@
 
 
 class TargetKind(StrEnum):
-    """What a target is."""
+    """Kind of back end that a target is."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -22,21 +22,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DataCentre:
-    """A place where instances and targets stand."""
+    """A data centre that hosts instances and targets."""
 
-    #: The region, inside which links are short.
+    #: Region; links within one region have low latency.
     region: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Team:
-    """A team and the service it was sold."""
+    """A team of callers with its keys, its paid rate and its permissions."""
 
     #: SHA-256 digests of the team's keys, `sha256:` and 64 hexadecimal digits.
     key_digests: tuple[str, ...]
-    #: Sold service in tokens a second, prompt and output together.
+    #: Paid rate in tokens a second, prompt and output tokens together.
     tokens_per_s: float
-    #: Tokens that may be used at once beyond the rate.
+    #: Tokens that may be used in a burst above the rate.
     burst_tokens: float
     #: Names of the pipelines the team may use.
     pipelines: tuple[str, ...]
@@ -46,43 +46,41 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Model:
-    """A model that engines can hold."""
+    """A model that engines can load."""
 
-    #: Number of layers; ranges of targets lie in `[0, layers)`.
+    #: Number of layers; layer ranges of targets lie in `[0, layers)`.
     layers: int
-    #: Versions that engines may hold, oldest first.
+    #: Versions that engines may load, oldest first.
     versions: tuple[str, ...]
-    #: The version that serves.
+    #: The version that serves requests.
     serving: str
-    #: Names of the adapters that may be asked for.
+    #: Names of the adapters that pipelines may use.
     adapters: tuple[str, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Pipeline:
-    """What a caller's `model` names: a model, an adapter and a purpose."""
+    """What callers name in `model`: a model with an adapter and request defaults."""
 
-    #: Name of the model.
     model: str
     #: Name of the adapter, or `None`.
     adapter: str | None
-    #: Default urgency of its requests.
+    #: Default urgency of requests.
     urgency: Urgency
-    #: Default deadline, milliseconds from acceptance to the last token.
+    #: Default deadline: milliseconds from acceptance to the last token.
     deadline_ms: int
     #: Whether a request may be executed more than once.
     idempotent: bool
-    #: Most tokens that one answer may have.
+    #: Maximum number of output tokens of a request.
     max_output_tokens: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceCall:
-    """A rule for the calls of a plain service."""
+    """A rule for calls of a plain service with a given method and path."""
 
-    #: HTTP method.
     method: str
-    #: Path below the service; a trailing `*` stands for any rest.
+    #: Path below the service; a trailing `*` matches any suffix.
     path: str
     #: Whether the call may be executed more than once.
     idempotent: bool
@@ -90,9 +88,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Service:
-    """A plain service beside the engines."""
+    """A plain HTTP service, not run by engines."""
 
-    #: Rules, the first that fits counts; no rule means not idempotent.
+    #: Rules; the first match applies. A call without a match is not idempotent.
     calls: tuple[ServiceCall, ...]
     #: Deadline of a call in milliseconds.
     deadline_ms: int
@@ -104,29 +102,27 @@
 
     #: Address `IP:PORT`.
     address: str
-    #: Name of its data centre.
     data_centre: str
-    #: What it is.
     kind: TargetKind
-    #: Name of the model or the service.
+    #: Name of the model or service that it serves.
     serves: str
-    #: Accelerator kind; empty for services.
+    #: Type of accelerator; empty for services.
     accelerator: str
-    #: First layer held, and one past the last; `(0, 0)` for services.
+    #: First loaded layer and one past the last; `(0, 0)` for services.
     layers: tuple[int, int]
-    #: Requests it runs at once.
+    #: Maximum number of concurrent requests.
     slots: int
-    #: Tokens a second that it generates when full.
+    #: Tokens a second that it generates at full load.
     tokens_per_s: float
-    #: Whether it refuses an order that carries an old fencing number.
+    #: Whether it rejects orders that carry a stale fencing number.
     checks_fencing: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class Link:
-    """The way between two data centres, the same in both directions."""
+    """A symmetric network link between two data centres."""
 
-    #: The two data centres' names.
+    #: Names of both data centres.
     between: tuple[str, str]
     #: One-way latency in milliseconds.
     latency_ms: float
@@ -136,11 +132,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Declaration:
-    """All that operators declare, checked as a whole."""
+    """Everything that operators declare, validated as a whole."""
 
     #: Data centres by name.
     data_centres: Mapping[str, DataCentre]
-    #: Links between data centres.
     links: tuple[Link, ...]
     #: Teams by name.
     teams: Mapping[str, Team]
--- a/packages/core/fulmarward_core/declaration/tests/test_parse.py
+++ b/packages/core/fulmarward_core/declaration/tests/test_parse.py
@@ -7,14 +7,14 @@
     parse_declaration,
 )
 
-DIGEST = "sha256:" + "a" * 64
+_DIGEST = "sha256:" + "a" * 64
 
-RIGHT = {
+_VALID = {
     "data_centres": {"palermo-a": {"region": "sicily"}},
     "links": [],
     "teams": {
         "istat": {
-            "key_digests": [DIGEST],
+            "key_digests": [_DIGEST],
             "tokens_per_s": 10,
             "burst_tokens": 20,
             "pipelines": ["coding"],
@@ -48,21 +48,21 @@
 }
 
 
-def _change(path, value):
-    changed = copy.deepcopy(RIGHT)
+def _replace_value(path, value):
+    declaration = copy.deepcopy(_VALID)
     *parents, last = path
-    place = changed
+    parent = declaration
     for key in parents:
-        place = place[key]
-    place[last] = value
-    return changed
+        parent = parent[key]
+    parent[last] = value
+    return declaration
 
 
 class ParseDeclarationTest(unittest.TestCase):
-    def test_right_declaration_is_parsed(self):
-        self.assertIsInstance(parse_declaration(RIGHT), Declaration)
+    def test_valid_declaration_is_parsed(self):
+        self.assertIsInstance(parse_declaration(_VALID), Declaration)
 
-    def test_broken_reference_is_named(self):
+    def test_broken_reference_is_reported(self):
         cases = [
             (("teams", "istat", "pipelines"), ["nope"], "teams.istat.pipelines"),
             (("teams", "istat", "services"), ["nope"], "teams.istat.services"),
@@ -77,28 +77,28 @@
         ]
         for path, value, where in cases:
             with self.subTest(path=path, value=value):
-                faults = parse_declaration(_change(path, value))
+                faults = parse_declaration(_replace_value(path, value))
                 self.assertEqual([fault.where for fault in faults], [where])
 
-    def test_all_faults_are_named_at_once(self):
-        wrong = _change(("teams", "istat", "tokens_per_s"), -1)
-        wrong["targets"]["t1"]["slots"] = 0
-        wrong["extra"] = 1
-        wheres = {fault.where for fault in parse_declaration(wrong)}
+    def test_all_faults_are_reported_at_once(self):
+        invalid = _replace_value(("teams", "istat", "tokens_per_s"), -1)
+        invalid["targets"]["t1"]["slots"] = 0
+        invalid["extra"] = 1
+        paths = {fault.where for fault in parse_declaration(invalid)}
         self.assertEqual(
-            wheres, {"teams.istat.tokens_per_s", "targets.t1.slots", "extra"}
+            paths, {"teams.istat.tokens_per_s", "targets.t1.slots", "extra"}
         )
 
-    def test_a_fault_of_one_kind_does_not_hide_one_of_another(self):
-        # An operator mends a wrong number, applies again, and only then learns that
-        # another entry names a model that nobody declared.
-        wrong = _change(("targets", "t1", "serves"), "cod")
-        wrong["teams"]["istat"]["tokens_per_s"] = "many"
-        wrong["pipelines"]["coding"]["deadline_ms"] = 0
-        wrong["teams"]["other"] = RIGHT["teams"]["istat"] | {"services": ["nope"]}
-        wheres = {fault.where for fault in parse_declaration(wrong)}
+    def test_invalid_values_do_not_hide_broken_references(self):
+        # Guards against an operator who corrects an invalid number, applies again and
+        # only then sees that another entry references an undeclared model.
+        invalid = _replace_value(("targets", "t1", "serves"), "cod")
+        invalid["teams"]["istat"]["tokens_per_s"] = "many"
+        invalid["pipelines"]["coding"]["deadline_ms"] = 0
+        invalid["teams"]["other"] = _VALID["teams"]["istat"] | {"services": ["nope"]}
+        paths = {fault.where for fault in parse_declaration(invalid)}
         self.assertEqual(
-            wheres,
+            paths,
             {
                 "teams.istat.tokens_per_s",
                 "pipelines.coding.deadline_ms",
@@ -110,11 +110,11 @@
             with self.subTest(value=value):
                 self.assertIsInstance(parse_declaration(value), tuple)
 
-    def test_key_of_two_teams_is_refused(self):
-        wrong = _change(("teams", "other"), RIGHT["teams"]["istat"])
-        (fault,) = parse_declaration(wrong)
+    def test_key_shared_by_two_teams_is_rejected(self):
+        invalid = _replace_value(("teams", "other"), _VALID["teams"]["istat"])
+        (fault,) = parse_declaration(invalid)
         self.assertEqual(fault.where, "teams.other.key_digests")
 
-    def test_hash_does_not_depend_on_the_order_of_members(self):
-        turned = dict(reversed(RIGHT.items()))
-        self.assertEqual(hash_declaration(turned), hash_declaration(RIGHT))
+    def test_hash_is_independent_of_member_order(self):
+        reordered = dict(reversed(_VALID.items()))
+        self.assertEqual(hash_declaration(reordered), hash_declaration(_VALID))
--- a/packages/core/fulmarward_core/declaration/tests/test_parts.py
+++ b/packages/core/fulmarward_core/declaration/tests/test_parts.py
@@ -32,7 +32,7 @@
 
 class PartsTest(unittest.TestCase):
     @given(_VALUES)
-    def test_parts_join_to_what_was_split(self, value):
+    def test_joining_the_parts_restores_the_declaration(self, value):
         split = split_declaration(value)
         manifest = read_manifest(split.bodies[split.content_hash])
         self.assertEqual(join_declaration(manifest, split.bodies), value)
@@ -41,24 +41,24 @@
 
     def test_order_of_entries_does_not_matter(self):
         value = {"teams": {"a": 1, "b": 2}, "targets": {}}
-        turned = {"targets": {}, "teams": {"b": 2, "a": 1}}
-        self.assertEqual(hash_declaration(value), hash_declaration(turned))
+        reordered = {"targets": {}, "teams": {"b": 2, "a": 1}}
+        self.assertEqual(hash_declaration(value), hash_declaration(reordered))
         self.assertNotEqual(hash_declaration(value), hash_declaration({"teams": {}}))
 
-    def test_damaged_manifests_and_parts_are_refused(self):
+    def test_damaged_manifests_and_parts_are_rejected(self):
         for body in (b"", b"[]", b'{"nope": "x"}', b'{"teams": 5}'):
             self.assertIsNone(read_manifest(body))
         for part in (b"", b"[1]", b"5"):
             self.assertIsNone(join_declaration({"teams/1": "h"}, {"h": part}))
         self.assertIsNone(join_declaration({"teams": "h"}, {}))
 
-    def test_one_target_at_the_design_size_moves_few_bytes(self):
-        # 2,100 changes a day are one in 41 s: at the budget of 4 KB/s a change may
-        # move 164 KB, and a tenth of that leaves room for all else.
+    def test_changing_one_target_transfers_few_bytes_at_design_size(self):
+        # 2,100 changes a day are one every 41 s. At the budget of 4 KB/s, a change may
+        # transfer 164 KB; a tenth of that leaves the rest to other traffic.
         targets = {f"t{number}": _make_target(number, 16) for number in range(4_100)}
         before = split_declaration({"targets": targets})
         changed = targets | {"t7": _make_target(7, 8)}
         after = split_declaration({"targets": changed})
-        moved = set(after.bodies) - set(before.bodies)
-        self.assertEqual(len(moved), 2)
-        self.assertLess(sum(len(after.bodies[item]) for item in moved), 41 * 400)
+        transferred = set(after.bodies) - set(before.bodies)
+        self.assertEqual(len(transferred), 2)
+        self.assertLess(sum(len(after.bodies[item]) for item in transferred), 41 * 400)
