--- a/packages/core/fulmarward_core/routes/__init__.py
+++ b/packages/core/fulmarward_core/routes/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration that routes requests: routes, teams, limits, and the choice."""
+"""Routing configuration, and the choice of route, team and service for a request."""
 
 from fulmarward_core.routes._types import (
     CallerLimits,
--- a/packages/core/fulmarward_core/routes/_types.py
+++ b/packages/core/fulmarward_core/routes/_types.py
@@ -1,4 +1,4 @@
-"""Types of the routes slice. A configuration is in force whole or not at all."""
+"""Types of the routing configuration, which takes effect only as a whole."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated on a route."""
+    """Kind of requests on a route, which decides whether they may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -17,46 +17,44 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceShare:
-    """One arm of a route's split."""
+    """A service with its share of a route's traffic."""
 
-    #: Name of the service.
     service: str
-    #: Its share in proportion to the other arms' weights.
+    #: Weight relative to the other services of the route.
     weight: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Route:
-    """Where requests of one host and path prefix go."""
+    """Rules for requests with a given host and path prefix."""
 
-    #: Name, for logs.
+    #: Name, used in logs.
     name: str
     #: Host without a port, in lower case.
     host: str
-    #: Path prefix; begins and ends with a slash.
+    #: Path prefix; starts and ends with a slash.
     prefix: str
-    #: What may be repeated.
     kind: RouteKind
-    #: Seconds after which a request gets its final answer.
+    #: Time limit for the final answer to a request, in seconds.
     timeout_s: float
-    #: Seconds to the answer, or to a stream's first event, that users expect.
+    #: Latency objective for the answer or for the first event of a stream, in seconds.
     objective_s: float
-    #: Longest pause between a stream's events that users expect, in seconds.
+    #: Objective for the longest pause between two events of a stream, in seconds.
     pause_s: float
-    #: Urgency; 0 goes first.
+    #: Urgency; 0 is served first.
     priority: int
-    #: Services by share, at least one.
+    #: Services with their weights; at least one.
     shares: tuple[ServiceShare, ...]
-    #: Targets that one request may be sent to.
+    #: Maximum number of targets that a request is sent to.
     most_attempts: int
-    #: Whether it needs no key.
+    #: Whether requests need no key.
     is_public: bool
-    #: Whether a stream may be continued by another target.
+    #: Whether another target may resume a stream.
     is_resumable: bool
 
     @property
     def may_retry(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -64,41 +62,38 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Team:
-    """A team and the urgency it was sold."""
+    """A team and its urgency."""
 
-    #: Name, told to targets.
+    #: Name, sent to targets.
     name: str
-    #: Urgency that goes before the route's, or `None`.
+    #: Urgency that overrides the urgency of the route, or `None`.
     priority: int | None
 
 
 @dataclass(frozen=True, kw_only=True)
 class CallerLimits:
-    """Bounds on what callers send."""
+    """Limits on requests and connections of callers."""
 
-    #: Bytes of a request's line and headers.
+    #: Maximum size of the request line and headers, in bytes.
     header_bytes: int
-    #: Bytes of a request's body.
+    #: Maximum size of a request body, in bytes.
     body_bytes: int
-    #: Seconds for sending the headers.
+    #: Time limit for receiving the headers, in seconds.
     header_s: float
-    #: Seconds that a connection may stay idle.
+    #: Maximum idle time of a connection, in seconds.
     idle_s: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class RoutingConfiguration:
-    """One version of everything that the operator declares."""
+    """One version of the routing configuration that the operator declares."""
 
-    #: Rises with each change.
+    #: Increases with each change.
     version: int
     #: Routes by host, longest prefix first.
     routes: Mapping[str, tuple[Route, ...]]
-    #: Services by name.
     services: Mapping[str, ServiceSpec]
-    #: Bounds on callers.
     limits: CallerLimits
-    #: Teams by key.
     teams_by_key: Mapping[str, Team] = field(default_factory=dict)
-    #: Whether routes that are not public ask for a key.
+    #: Whether routes that are not public require a team key.
     has_teams: bool = False
--- a/packages/core/fulmarward_core/routes/decisions.py
+++ b/packages/core/fulmarward_core/routes/decisions.py
@@ -1,44 +1,44 @@
-"""Which route, team and service a request belongs to."""
+"""Decisions that select the route, team, urgency and service of a request."""
 
 import xxhash
 
 from fulmarward_core.routes._types import Route, RoutingConfiguration, Team
 
-#: Lowest urgency that targets know; 0 goes first.
-LAST_URGENCY = 9
+#: Least urgent value that targets accept; 0 is served first.
+LEAST_URGENT = 9
 
 
 def find_route(
     configuration: RoutingConfiguration, *, host: str, path: str
 ) -> Route | None:
-    """Return the route with the longest prefix that begins `path`, if there is one.
+    """Return the route with the longest prefix of `path`, or `None`.
 
-    `host` is the Host header as sent; its port and case do not count.
+    `host` is the Host header as received; its port and case are ignored.
     """
-    name = host.rsplit(":", 1)[0] if not host.endswith("]") else host
-    for route in configuration.routes.get(name.lower(), ()):
+    hostname = host.rsplit(":", 1)[0] if not host.endswith("]") else host
+    for route in configuration.routes.get(hostname.lower(), ()):
         if path.startswith(route.prefix):
             return route
     return None
 
 
 def find_team(configuration: RoutingConfiguration, key: str | None) -> Team | None:
-    """Return the team that holds `key`, if there is one."""
+    """Return the team that owns `key`, or `None`."""
     return None if key is None else configuration.teams_by_key.get(key)
 
 
 def find_urgency(route: Route, team: Team | None) -> int:
-    """Return the urgency of a request: its team's goes before its route's."""
+    """Return the urgency of a request; that of the team overrides that of the route."""
     priority = route.priority
     if team is not None and team.priority is not None:
         priority = team.priority
-    return max(0, min(LAST_URGENCY, priority))
+    return max(0, min(LEAST_URGENT, priority))
 
 
 def choose_service(route: Route, request_id: str) -> str:
-    """Return the service that a request goes to.
+    """Return the service for a request, chosen at random by weight.
 
-    The request's id decides, so that every instance chooses alike.
+    The choice hashes the request id, so every instance makes the same choice.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
--- a/packages/core/fulmarward_core/routes/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/routes/tests/test_decisions.py
@@ -44,7 +44,7 @@
 
 
 class RoutesTest(unittest.TestCase):
-    def test_longest_prefix_of_the_host(self):
+    def test_longest_matching_prefix_is_chosen(self):
         cases = [
             ("h.example", "/a/b/c", "/a/b/"),
             ("H.Example:80", "/a/x", "/a/"),
@@ -58,7 +58,7 @@
                 route = find_route(_CONFIGURATION, host=host, path=path)
                 self.assertEqual(route and route.prefix, expected)
 
-    def test_team_and_its_urgency(self):
+    def test_team_urgency_overrides_route_urgency(self):
         team = find_team(_CONFIGURATION, "k")
         self.assertEqual(team.name, "t")
         self.assertIsNone(find_team(_CONFIGURATION, "no"))
@@ -68,7 +68,7 @@
         self.assertEqual(find_urgency(route, Team(name="t", priority=None)), 3)
         self.assertEqual(find_urgency(route, None), 3)
 
-    def test_split_follows_weights_and_every_instance_chooses_alike(self):
+    def test_split_follows_weights_and_is_deterministic(self):
         shares = (
             ServiceShare(service="one", weight=90.0),
             ServiceShare(service="two", weight=10.0),
@@ -78,7 +78,7 @@
         self.assertAlmostEqual(chosen.count("two") / 4000, 0.1, delta=0.02)
         self.assertEqual(choose_service(route, "r1"), choose_service(route, "r1"))
 
-    def test_what_may_be_repeated(self):
+    def test_retries_allowed_by_route_kind(self):
         cases = [
             (RouteKind.IDEMPOTENT, False, True),
             (RouteKind.NON_IDEMPOTENT, True, False),
