--- a/packages/core/fulmarward_core/configuration/__init__.py
+++ b/packages/core/fulmarward_core/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet's single truth: the declaration in force and its rising epoch."""
+"""The declaration in force for the fleet, identified by an increasing epoch."""
 
 from fulmarward_core.configuration._types import (
     EMPTY_HEAD,
--- a/packages/core/fulmarward_core/configuration/decisions.py
+++ b/packages/core/fulmarward_core/configuration/decisions.py
@@ -1,31 +1,32 @@
-"""Decisions about applying and adopting configuration."""
+"""Decisions about applying, adopting and polling the configuration."""
 
 import random
 from collections.abc import Sequence
 
 from fulmarward_core.configuration._types import Adoption, ApplyStep, Head
 
-#: Seconds between two looks of an instance at the platform's head, on average. Load:
-#: 330 instances; harm: reads that the platform needs for other duties; reason: news
-#: comes from peers within a second or two and the look is only the net below it, so
-#: 33 reads a second of two thousand are enough.
-POLL_S = 10.0
+#: Mean interval in seconds at which an instance polls the platform for the head.
+#: Changes arrive from peers within a second or two, and polling is only the fallback.
+#: 330 instances then make 33 of the two thousand reads a second that the platform
+#: serves, which leaves the rest for other uses.
+POLL_INTERVAL_S = 10.0
 
-#: Most seconds between two looks while the platform does not answer.
-MOST_POLL_S = 40.0
+#: Maximum mean interval in seconds while the platform does not answer.
+MAX_POLL_INTERVAL_S = 40.0
 
-#: How far each wait is spread around its mean, as a part of it. Harm: instances that
-#: were started or cut off together ask together; reason: half of the mean spreads
-#: them over the whole interval.
-POLL_SPREAD = 0.5
+#: Jitter of each delay as a fraction of its mean. Without it, instances that start or
+#: lose their connection together poll together; half of the mean spreads them over
+#: the whole interval.
+POLL_JITTER = 0.5
 
 
 def decide_adoption(*, current: Head, offered: Head) -> Adoption:
-    """Return what to do with `offered`, given what stands.
+    """Return how to handle `offered`, given the current head.
 
-    Guards against an instance going back to an older file: a peer that was parted
-    or paused offers what it last knew. Epochs only rise, and the platform's
-    conditional write gives each epoch to one file alone, so the higher one is right.
+    Prevents an instance from returning to an older declaration when a peer that was
+    partitioned or paused offers a stale head. Epochs only increase, and the platform's
+    conditional write assigns each epoch to a single declaration, so the higher epoch
+    is the valid one.
     """
     if offered.epoch > current.epoch:
         return Adoption.ADOPT
@@ -37,10 +38,10 @@
 
 
 def is_same_apply(first: Head, second: Head) -> bool:
-    """Return whether two heads come from one and the same apply.
+    """Return whether two heads come from the same apply.
 
-    The content counts beside the id, so that an id that a client used twice never
-    passes another file off as its own.
+    The content is compared as well as the id, so an id that a client reuses for
+    another declaration is not mistaken for the same apply.
     """
     return (first.apply_id, first.content_hash) == (
         second.apply_id,
@@ -49,7 +50,7 @@
 
 
 def decide_apply(*, current: Head, wanted: Head, base_epoch: int | None) -> ApplyStep:
-    """Return how to go on with an apply, given the head that the platform has."""
+    """Return the next step of an apply, given the head stored on the platform."""
     if is_same_apply(current, wanted):
         return ApplyStep.DONE
     if current.content_hash == wanted.content_hash:
@@ -60,22 +61,22 @@
 
 
 def is_newest_known(answers: Sequence[bool | None]) -> bool:
-    """Return whether the highest epoch among peers' answers is the fleet's newest.
+    """Return whether the highest epoch in peers' answers is the newest of the fleet.
 
-    An answer is `None` when none came, else whether that peer is sure of its own.
-    One that is sure suffices. Guards against instances that were paused or started
-    together and confirm each other's old file: none of them is sure, and then only
-    the word of every peer there is will do.
+    An answer is `None` if the peer did not reply, else whether that peer is certain
+    that its own epoch is the newest. One certain peer is enough. Otherwise every peer
+    has to reply, because instances that were paused or started together could confirm
+    each other's stale declaration.
     """
     return any(answers) or (len(answers) > 0 and None not in answers)
 
 
 def choose_poll_delay(*, failures: int, generator: random.Random) -> float:
-    """Return the seconds until the next look at the platform.
+    """Return the seconds until the next poll of the platform.
 
-    Each look without an answer doubles the mean. After an outage of any length the
-    looks of all instances lie spread over the whole of the last interval, so the
-    platform meets 330 reads in some 40 seconds and not at once.
+    Each failed poll doubles the mean, up to the maximum. After an outage of any length
+    the polls of all instances are spread over the last interval: the platform gets 330
+    reads over some 40 seconds instead of all at once.
     """
-    mean = min(POLL_S * 2 ** min(failures, 8), MOST_POLL_S)
-    return mean * generator.uniform(1 - POLL_SPREAD, 1 + POLL_SPREAD)
+    mean = min(POLL_INTERVAL_S * 2 ** min(failures, 8), MAX_POLL_INTERVAL_S)
+    return mean * generator.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
--- a/packages/core/fulmarward_core/configuration/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/configuration/tests/test_decisions.py
@@ -22,9 +22,9 @@
 
 class DecideAdoptionTest(unittest.TestCase):
     @given(st.lists(st.integers(min_value=1, max_value=20)))
-    def test_epoch_in_force_never_falls(self, offered):
-        # Peers that were parted or paused offer old heads in any order; the epoch in
-        # force only rises and ends at the highest that was offered.
+    def test_epoch_in_force_never_decreases(self, offered):
+        # Peers that were partitioned or paused offer stale heads in any order. The
+        # epoch in force never decreases and ends at the highest one offered.
         current = EMPTY_HEAD
         for epoch in offered:
             head = _make_head(epoch)
@@ -34,7 +34,7 @@
             self.assertGreaterEqual(current.epoch, before)
         self.assertEqual(current.epoch, max(offered, default=0))
 
-    def test_same_epoch_with_other_content_is_a_conflict(self):
+    def test_same_epoch_with_different_content_is_a_conflict(self):
         other = Head(
             epoch=3, content_hash="x", apply_id="b", applied_by="op", applied_at=0.0
         )
