--- a/packages/core/fulmarward_core/results/__init__.py
+++ b/packages/core/fulmarward_core/results/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered result codes and the outcomes that carry them."""
+"""Numbered result codes, and failures that carry them."""
 
 from fulmarward_core.results._codes import (
     CODES,
--- a/packages/core/fulmarward_core/results/_codes.py
+++ b/packages/core/fulmarward_core/results/_codes.py
@@ -1,8 +1,9 @@
-"""The table of result codes: one number for each thing a caller can be told.
+"""The table of result codes: a number for each result that callers can receive.
 
-The thousands say who has to act: 1 the caller mends its request, 2 the caller
-comes back later (nothing ran), 3 the request ran, 4 nobody can tell, 5 the
-operator. docs/RESULT-CODES.md is rendered from this table and checked in a test.
+The thousands digit gives the category: 1: the caller has to correct the request;
+2: the caller retries later (nothing was executed); 3: the request was executed;
+4: it is unknown whether it was executed; 5: the operator has to act.
+docs/RESULT-CODES.md is rendered from this table, which a test checks.
 """
 
 from dataclasses import dataclass
@@ -10,20 +11,20 @@
 
 
 class Ran(Enum):
-    """Whether a request was executed, as far as the one who tells can know."""
+    """Whether a request was executed, as far as the reporting instance knows."""
 
-    #: Nothing of the request was executed; it is safe to repeat.
+    #: No part of the request was executed; a retry is safe.
     NOT_RUN = "not_run"
-    #: The request was executed at least in part and did not end well.
+    #: The request was executed at least partly and failed.
     FAILED = "failed"
-    #: The request was executed to its end.
+    #: The request was executed completely.
     COMPLETE = "complete"
     #: It cannot be known whether the request was executed.
     UNKNOWN = "unknown"
 
 
 class ResultCode(IntEnum):
-    """The numbers themselves."""
+    """Result codes; the numbers and names are sent to callers."""
 
     OK = 0
     BODY_MALFORMED = 1001
@@ -72,21 +73,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CodeEntry:
-    """What a result code means to each reader of it."""
+    """Meaning of a result code for HTTP callers, command lines and people."""
 
-    #: HTTP status of the answer that carries the code.
+    #: HTTP status of responses with the code.
     status: int
-    #: The `type` member of the error object, as callers' libraries know it.
+    #: The `type` member of the error object, as client libraries expect it.
     type: str
-    #: Whether the request was executed.
     ran: Ran
-    #: Exit status of `fulmarctl` and `fulmarward`.
+    #: Exit status of the commands `fulmarctl` and `fulmarward`.
     exit_status: int
-    #: One sentence for callers and operators.
+    #: A sentence for callers and operators.
     meaning: str
 
 
-def _entry(
+def _make_entry(
     status: int, error_type: str, ran: Ran, exit_status: int, meaning: str
 ) -> CodeEntry:
     return CodeEntry(
@@ -102,145 +102,167 @@
 _BUSY = "overloaded_error"
 _SERVER = "server_error"
 _OPERATOR = "operator_error"
-_NOT, _FAILED, _DONE, _UNKNOWN = (
+_NOT_RUN, _FAILED, _DONE, _UNKNOWN = (
     Ran.NOT_RUN,
     Ran.FAILED,
     Ran.COMPLETE,
     Ran.UNKNOWN,
 )
 
-#: Every code with its meaning.
+#: The entries of all result codes.
 CODES: dict[ResultCode, CodeEntry] = {
-    ResultCode.OK: _entry(200, "", _DONE, 0, "All is well."),
-    ResultCode.BODY_MALFORMED: _entry(
-        400, _INVALID, _NOT, 10, "The body is not what the call takes."
+    ResultCode.OK: _make_entry(200, "", _DONE, 0, "All is well."),
+    ResultCode.BODY_MALFORMED: _make_entry(
+        400, _INVALID, _NOT_RUN, 10, "The body is not what the call takes."
     ),
-    ResultCode.BODY_TOO_LARGE: _entry(
-        413, _INVALID, _NOT, 10, "The body is larger than the instance takes."
+    ResultCode.BODY_TOO_LARGE: _make_entry(
+        413, _INVALID, _NOT_RUN, 10, "The body is larger than the instance takes."
     ),
-    ResultCode.PIPELINE_UNKNOWN: _entry(
-        404, _INVALID, _NOT, 10, "No pipeline of that name is declared."
+    ResultCode.PIPELINE_UNKNOWN: _make_entry(
+        404, _INVALID, _NOT_RUN, 10, "No pipeline of that name is declared."
     ),
-    ResultCode.TEAM_KEY_WRONG: _entry(
-        401, "authentication_error", _NOT, 11, "The team key is missing or wrong."
+    ResultCode.TEAM_KEY_WRONG: _make_entry(
+        401, "authentication_error", _NOT_RUN, 11, "The team key is missing or wrong."
     ),
-    ResultCode.NOT_ALLOWED: _entry(
-        403, "permission_error", _NOT, 11, "The team may not use this."
+    ResultCode.NOT_ALLOWED: _make_entry(
+        403, "permission_error", _NOT_RUN, 11, "The team may not use this."
     ),
-    ResultCode.SERVICE_UNKNOWN: _entry(
-        404, _INVALID, _NOT, 10, "No service of that name is declared."
+    ResultCode.SERVICE_UNKNOWN: _make_entry(
+        404, _INVALID, _NOT_RUN, 10, "No service of that name is declared."
     ),
-    ResultCode.IDEMPOTENCY_KEY_REUSED: _entry(
-        422, _INVALID, _NOT, 10, "The idempotency key came before with another body."
+    ResultCode.IDEMPOTENCY_KEY_REUSED: _make_entry(
+        422,
+        _INVALID,
+        _NOT_RUN,
+        10,
+        "The idempotency key came before with another body.",
     ),
-    ResultCode.HEADER_MALFORMED: _entry(
-        400, _INVALID, _NOT, 10, "A header has a value that cannot be used."
+    ResultCode.HEADER_MALFORMED: _make_entry(
+        400, _INVALID, _NOT_RUN, 10, "A header has a value that cannot be used."
     ),
-    ResultCode.EVENT_ID_WRONG: _entry(
-        400, _INVALID, _NOT, 10, "Last-Event-ID names no stream of this team."
+    ResultCode.EVENT_ID_WRONG: _make_entry(
+        400, _INVALID, _NOT_RUN, 10, "Last-Event-ID names no stream of this team."
     ),
-    ResultCode.BODY_TOO_SLOW: _entry(
-        408, _INVALID, _NOT, 10, "The body did not arrive in time."
+    ResultCode.BODY_TOO_SLOW: _make_entry(
+        408, _INVALID, _NOT_RUN, 10, "The body did not arrive in time."
     ),
-    ResultCode.PATH_UNKNOWN: _entry(
-        404, _INVALID, _NOT, 10, "No such path, or not with this method."
+    ResultCode.PATH_UNKNOWN: _make_entry(
+        404, _INVALID, _NOT_RUN, 10, "No such path, or not with this method."
     ),
-    ResultCode.HEADERS_TOO_LARGE: _entry(
-        431, _INVALID, _NOT, 10, "The headers are larger than the instance takes."
+    ResultCode.HEADERS_TOO_LARGE: _make_entry(
+        431, _INVALID, _NOT_RUN, 10, "The headers are larger than the instance takes."
     ),
-    ResultCode.OVER_SHARE: _entry(
-        429, "rate_limit_error", _NOT, 20, "The team is over the share it was sold."
+    ResultCode.OVER_SHARE: _make_entry(
+        429, "rate_limit_error", _NOT_RUN, 20, "The team is over the share it was sold."
     ),
-    ResultCode.QUEUE_FULL: _entry(
-        429, _BUSY, _NOT, 20, "The wait would be longer than the queue allows."
+    ResultCode.QUEUE_FULL: _make_entry(
+        429, _BUSY, _NOT_RUN, 20, "The wait would be longer than the queue allows."
     ),
-    ResultCode.DEADLINE_TOO_NEAR: _entry(
-        503, _BUSY, _NOT, 20, "The answer could not be ready before the deadline."
+    ResultCode.DEADLINE_TOO_NEAR: _make_entry(
+        503, _BUSY, _NOT_RUN, 20, "The answer could not be ready before the deadline."
     ),
-    ResultCode.NO_TARGET: _entry(
-        503, _BUSY, _NOT, 20, "No target that can serve this takes work now."
+    ResultCode.NO_TARGET: _make_entry(
+        503, _BUSY, _NOT_RUN, 20, "No target that can serve this takes work now."
     ),
-    ResultCode.NOT_READY: _entry(
-        503, _BUSY, _NOT, 20, "The instance does not yet know the configuration."
+    ResultCode.NOT_READY: _make_entry(
+        503, _BUSY, _NOT_RUN, 20, "The instance does not yet know the configuration."
     ),
-    ResultCode.STOPPING: _entry(
-        503, _BUSY, _NOT, 20, "The instance is stopping; use another address."
+    ResultCode.STOPPING: _make_entry(
+        503, _BUSY, _NOT_RUN, 20, "The instance is stopping; use another address."
     ),
-    ResultCode.WITNESS_UNREACHABLE: _entry(
-        503, _BUSY, _NOT, 20, "The record of the key could not be kept; take a new key."
+    ResultCode.WITNESS_UNREACHABLE: _make_entry(
+        503,
+        _BUSY,
+        _NOT_RUN,
+        20,
+        "The record of the key could not be kept; take a new key.",
     ),
-    ResultCode.KEY_CLOSED: _entry(
-        409, _BUSY, _NOT, 20, "The key was closed before its request ran; take a new."
+    ResultCode.KEY_CLOSED: _make_entry(
+        409,
+        _BUSY,
+        _NOT_RUN,
+        20,
+        "The key was closed before its request ran; take a new.",
     ),
-    ResultCode.STORE_UNAVAILABLE: _entry(
-        503, _BUSY, _NOT, 20, "The platform's service is needed for this and is out."
+    ResultCode.STORE_UNAVAILABLE: _make_entry(
+        503,
+        _BUSY,
+        _NOT_RUN,
+        20,
+        "The platform's service is needed for this and is out.",
     ),
-    ResultCode.TARGET_REFUSED: _entry(
-        503, _BUSY, _NOT, 20, "The target refused the request before it began."
+    ResultCode.TARGET_REFUSED: _make_entry(
+        503, _BUSY, _NOT_RUN, 20, "The target refused the request before it began."
     ),
-    ResultCode.TARGET_UNREACHABLE: _entry(
-        503, _BUSY, _NOT, 20, "No connection to a target could be made."
+    ResultCode.TARGET_UNREACHABLE: _make_entry(
+        503, _BUSY, _NOT_RUN, 20, "No connection to a target could be made."
     ),
-    ResultCode.STILL_RUNNING: _entry(
+    ResultCode.STILL_RUNNING: _make_entry(
         409, _BUSY, _UNKNOWN, 20, "The key's request is running; come back for it."
     ),
-    ResultCode.KEY_NOT_ASKED: _entry(
+    ResultCode.KEY_NOT_ASKED: _make_entry(
         503, _BUSY, _UNKNOWN, 20, "Not taken here now; come again with the same key."
     ),
-    ResultCode.TARGET_FAILED: _entry(
+    ResultCode.TARGET_FAILED: _make_entry(
         502, _SERVER, _FAILED, 30, "The target began the request and failed."
     ),
-    ResultCode.ALREADY_RAN: _entry(
+    ResultCode.ALREADY_RAN: _make_entry(
         409, _SERVER, _DONE, 30, "The key's request ran; its answer is not kept."
     ),
-    ResultCode.DEADLINE_PASSED: _entry(
+    ResultCode.DEADLINE_PASSED: _make_entry(
         504, _SERVER, _FAILED, 30, "The deadline passed while the request ran."
     ),
-    ResultCode.STREAM_LOST: _entry(
+    ResultCode.STREAM_LOST: _make_entry(
         502, _SERVER, _FAILED, 30, "The stream broke and cannot be resumed."
     ),
-    ResultCode.OUTCOME_UNKNOWN: _entry(
+    ResultCode.OUTCOME_UNKNOWN: _make_entry(
         502, _SERVER, _UNKNOWN, 40, "It cannot be known whether the request ran."
     ),
-    ResultCode.INSTANCE_STOPPED: _entry(
+    ResultCode.INSTANCE_STOPPED: _make_entry(
         503, _SERVER, _UNKNOWN, 40, "The instance ended first; go on at another."
     ),
-    ResultCode.ABANDONED: _entry(
+    ResultCode.ABANDONED: _make_entry(
         409, _SERVER, _UNKNOWN, 40, "Its caller went away, so that it was cancelled."
     ),
-    ResultCode.OPERATOR_KEY_WRONG: _entry(
-        401, "authentication_error", _NOT, 11, "The operator token is wrong."
+    ResultCode.OPERATOR_KEY_WRONG: _make_entry(
+        401, "authentication_error", _NOT_RUN, 11, "The operator token is wrong."
     ),
-    ResultCode.DECLARATION_INVALID: _entry(
-        422, _OPERATOR, _NOT, 50, "The declaration has faults; none of it is applied."
+    ResultCode.DECLARATION_INVALID: _make_entry(
+        422,
+        _OPERATOR,
+        _NOT_RUN,
+        50,
+        "The declaration has faults; none of it is applied.",
     ),
-    ResultCode.APPLY_CONFLICT: _entry(
-        409, _OPERATOR, _NOT, 51, "Another operator's file was applied first."
+    ResultCode.APPLY_CONFLICT: _make_entry(
+        409, _OPERATOR, _NOT_RUN, 51, "Another operator's file was applied first."
     ),
-    ResultCode.APPLY_UNKNOWN: _entry(
+    ResultCode.APPLY_UNKNOWN: _make_entry(
         503, _OPERATOR, _UNKNOWN, 52, "It cannot be known whether the file applies."
     ),
-    ResultCode.NOT_CONFIRMED: _entry(
+    ResultCode.NOT_CONFIRMED: _make_entry(
         504, _OPERATOR, _DONE, 53, "Applied, but not confirmed by every instance."
     ),
-    ResultCode.USAGE: _entry(
-        400, _OPERATOR, _NOT, 2, "The command line is not understood."
+    ResultCode.USAGE: _make_entry(
+        400, _OPERATOR, _NOT_RUN, 2, "The command line is not understood."
     ),
-    ResultCode.SETTINGS_INVALID: _entry(
-        400, _OPERATOR, _NOT, 3, "The settings have faults; nothing was started."
+    ResultCode.SETTINGS_INVALID: _make_entry(
+        400, _OPERATOR, _NOT_RUN, 3, "The settings have faults; nothing was started."
     ),
-    ResultCode.INSTANCE_UNREACHABLE: _entry(
+    ResultCode.INSTANCE_UNREACHABLE: _make_entry(
         503, _OPERATOR, _UNKNOWN, 54, "No instance answered the operator's client."
     ),
-    ResultCode.NOT_FOUND: _entry(404, _OPERATOR, _NOT, 55, "There is no such thing."),
-    ResultCode.DRAIN_UNKNOWN: _entry(
+    ResultCode.NOT_FOUND: _make_entry(
+        404, _OPERATOR, _NOT_RUN, 55, "There is no such thing."
+    ),
+    ResultCode.DRAIN_UNKNOWN: _make_entry(
         503, _OPERATOR, _UNKNOWN, 56, "It cannot be known whether the drain stands."
     ),
 }
 
 
 def render_codes_page() -> str:
-    """Return docs/RESULT-CODES.md as it should read."""
+    """Return the content of docs/RESULT-CODES.md."""
     lines = [
         "# Result codes",
         "",
--- a/packages/core/fulmarward_core/results/_outcomes.py
+++ b/packages/core/fulmarward_core/results/_outcomes.py
@@ -1,4 +1,4 @@
-"""The outcome that says why something was not done."""
+"""The failure that reports why a request was not completed."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Failure:
-    """A refusal or failure, complete enough to be told to a caller."""
+    """A rejected or failed request, as it is reported to the caller."""
 
-    #: The numbered result.
     code: ResultCode
-    #: What was expected, found and where, for a person.
+    #: Message for people: what was expected, what was found and where.
     message: str
-    #: When to come back, in milliseconds; `None` when coming back is no use.
+    #: Delay before a retry, in milliseconds; `None` if a retry is pointless.
     retry_after_ms: int | None = None
 
     @property
@@ -25,7 +24,7 @@
 def make_failure(
     code: ResultCode, detail: str = "", *, retry_after_ms: int | None = None
 ) -> Failure:
-    """Return the failure of `code`, its message being the meaning and `detail`."""
+    """Return a failure whose message is the meaning of `code` followed by `detail`."""
     meaning = CODES[code].meaning
     message = f"{meaning} {detail}" if detail else meaning
     return Failure(code=code, message=message, retry_after_ms=retry_after_ms)
--- a/packages/core/fulmarward_core/results/tests/test_codes.py
+++ b/packages/core/fulmarward_core/results/tests/test_codes.py
@@ -10,16 +10,16 @@
     def test_every_code_has_an_entry(self):
         self.assertEqual(set(CODES), set(ResultCode))
 
-    def test_page_is_what_the_table_renders(self):
+    def test_page_matches_the_table(self):
         self.assertEqual(_PAGE.read_text(), render_codes_page())
 
-    def test_only_codes_below_3000_say_not_run_to_callers(self):
+    def test_caller_codes_from_3000_never_report_not_run(self):
         for code, entry in CODES.items():
             with self.subTest(code=code.name):
                 if 3000 <= code < 5000:
                     self.assertIsNot(entry.ran, Ran.NOT_RUN)
 
-    def test_exit_statuses_fit_a_process(self):
+    def test_exit_statuses_are_valid(self):
         for code, entry in CODES.items():
             with self.subTest(code=code.name):
                 self.assertEqual(entry.exit_status == 0, code is ResultCode.OK)
