--- a/packages/core/fulmarward_core/checks/__init__.py
+++ b/packages/core/fulmarward_core/checks/__init__.py
@@ -1,4 +1,4 @@
-"""Reading JSON into checked types, with every fault named and not just the first."""
+"""Validates JSON into typed values, and reports all faults instead of the first."""
 
 from fulmarward_core.checks._readers import (
     REQUIRED,
--- a/packages/core/fulmarward_core/checks/tests/test_readers.py
+++ b/packages/core/fulmarward_core/checks/tests/test_readers.py
@@ -24,7 +24,7 @@
 
 
 class ReadRecordTest(unittest.TestCase):
-    def test_right_value_is_read_with_its_defaults(self):
+    def test_valid_value_is_read_with_defaults(self):
         faults = []
         value = _READ({"name": "a", "count": 5}, "", faults)
         self.assertEqual(faults, [])
@@ -32,7 +32,7 @@
             value, {"name": "a", "count": 5, "at": "127.0.0.1:1", "flags": ()}
         )
 
-    def test_every_fault_is_named_with_its_path(self):
+    def test_every_fault_is_reported_with_its_path(self):
         cases = [
             ([], ": expected an object, found []"),
             (
@@ -65,7 +65,7 @@
                 self.assertIsNone(_READ(value, "", faults))
                 self.assertEqual(describe_faults(faults), expected)
 
-    def test_text_that_is_no_json_is_a_fault(self):
+    def test_invalid_json_is_a_fault(self):
         for text in ("", "{", "[" * 100_000):
             with self.subTest(text=text[:5]):
                 faults = []
