--- a/packages/core/fulmarward_core/codec/__init__.py
+++ b/packages/core/fulmarward_core/codec/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between processes as CBOR, with every field checked against its type."""
+"""Encodes messages between processes as CBOR and validates their field types."""
 
 from fulmarward_core.codec._codec import Message, MessageCodec, MessageFault
 
--- a/packages/core/fulmarward_core/codec/_codec.py
+++ b/packages/core/fulmarward_core/codec/_codec.py
@@ -1,4 +1,4 @@
-"""Messages to CBOR and back, with every field checked against its type."""
+"""Encodes messages as CBOR, and decodes them with a type check of every field."""
 
 import dataclasses
 import types
@@ -12,12 +12,12 @@
 import cbor2
 import msgspec
 
-#: What CBOR has a type of its own for, besides those of JSON.
+#: Types beyond those of JSON that CBOR represents directly.
 _NATIVE_TYPES = (bytes,)
 
 
 class MessageFault(Exception):
-    """Bytes that are no message of ours."""
+    """The received bytes are no valid message of the protocol."""
 
 
 class Message(
@@ -27,27 +27,30 @@
     array_like=True,
     forbid_unknown_fields=True,
 ):
-    """A message whose fields are checked and built outside of Python.
+    """A base class of messages that msgspec validates and builds in native code.
 
-    For kinds that arrive often or are large; data classes serve for all others. On the
-    wire both are the same: the fields in order, without their names.
+    It is meant for frequent or large messages; all others are data classes. Both have
+    the same encoding: the fields in order, without their names.
     """
 
 
 class MessageCodec:
-    """Packs the messages of one protocol; a message's number is its place."""
+    """Encodes the messages of a protocol, numbered by their position in `messages`."""
 
     def __init__(self, *, messages: Sequence[type]) -> None:
         self._messages = tuple(messages)
         self._numbers = {kind: number for number, kind in enumerate(self._messages)}
 
     def encode(self, message: object) -> bytes:
-        """Return a message as CBOR: its number, then its fields in order."""
+        """Encode a message as CBOR: its number followed by its fields in order."""
         kind = type(message)
         return cbor2.dumps([self._numbers[kind], *_make_packer(kind)(message)])
 
     def decode(self, data: bytes) -> object:
-        """Return the message in `data`; raises `MessageFault`."""
+        """Decode the message in `data`.
+
+        Raises `MessageFault` if it is invalid.
+        """
         try:
             items = cbor2.loads(data)
         except (cbor2.CBORDecodeError, UnicodeDecodeError) as error:
@@ -67,13 +70,13 @@
     return isinstance(kind, type) and issubclass(kind, Message)
 
 
-def _keep(value: Any) -> Any:  # noqa: ANN401
+def _return_unchanged(value: Any) -> Any:  # noqa: ANN401
     return value
 
 
 @cache
 def _make_packer(kind: Any) -> _Packer:  # noqa: ANN401
-    """Return what turns a value of `kind` into plain lists, texts and numbers."""
+    """Return a function that converts a value of `kind` to what cbor2 can encode."""
     if _is_message(kind):
         return partial(msgspec.to_builtins, builtin_types=_NATIVE_TYPES)
     if dataclasses.is_dataclass(kind):
@@ -82,52 +85,60 @@
     if origin is tuple:
         return _make_tuple_packer(typing.get_args(kind))
     if origin is types.UnionType:
-        pack_some = _make_packer(typing.get_args(kind)[0])
-        if pack_some is _keep:
-            return _keep
-        return lambda value: None if value is None else pack_some(value)
+        pack_value = _make_packer(typing.get_args(kind)[0])
+        if pack_value is _return_unchanged:
+            return _return_unchanged
+        return lambda value: None if value is None else pack_value(value)
     if isinstance(kind, type) and issubclass(kind, Enum):
         return attrgetter("value")
-    return _keep
+    return _return_unchanged
 
 
 def _make_fields_packer(kind: type) -> _Packer:
-    """Return what packs a data class: all its fields at once, then the few that are
-    not plain.
-    """
-    read_fields = _find_reader(kind)
-    if read_fields is not None:
-        return lambda value: list(read_fields(value))
-    fields = [(name, _make_packer(its)) for name, its in _list_types(kind)]
+    """Return a function that converts a data class to the list of its fields."""
+    get_fields = _make_field_getter(kind)
+    if get_fields is not None:
+        return lambda value: list(get_fields(value))
+    fields = [
+        (name, _make_packer(field_kind)) for name, field_kind in _list_types(kind)
+    ]
     return lambda value: [
-        getattr(value, name) if pack is _keep else pack(getattr(value, name))
+        getattr(value, name)
+        if pack is _return_unchanged
+        else pack(getattr(value, name))
         for name, pack in fields
     ]
 
 
-def _find_reader(kind: Any) -> _Packer | None:  # noqa: ANN401
-    """Return what reads all fields of a data class whose fields are plain, else `None`.
+def _make_field_getter(kind: Any) -> _Packer | None:  # noqa: ANN401
+    """Return a getter of all fields of a data class, or `None` if some need packing.
 
-    It is no function of Python, and calls none: a heartbeat tells of dozens of loads.
+    The getter is implemented in C and calls no Python function, because a heartbeat
+    holds dozens of loads.
     """
     if not dataclasses.is_dataclass(kind):
         return None
     names = [name for name, _ in _list_types(kind)]
-    is_plain = all(_make_packer(its) is _keep for _, its in _list_types(kind))
+    is_plain = all(
+        _make_packer(field_kind) is _return_unchanged
+        for _, field_kind in _list_types(kind)
+    )
     return attrgetter(*names) if is_plain and len(names) > 1 else None
 
 
 def _make_tuple_packer(kinds: tuple) -> _Packer:
-    packers = [_make_packer(its) for its in kinds if its is not Ellipsis]
-    if all(pack is _keep for pack in packers):
-        return _keep
+    packers = [
+        _make_packer(item_kind) for item_kind in kinds if item_kind is not Ellipsis
+    ]
+    if all(pack is _return_unchanged for pack in packers):
+        return _return_unchanged
     if kinds[-1] is not Ellipsis:
         return lambda value: [
             pack(item) for pack, item in zip(packers, value, strict=True)
         ]
-    read_fields = _find_reader(kinds[0])
-    if read_fields is not None:
-        return lambda value: list(map(list, map(read_fields, value)))
+    get_fields = _make_field_getter(kinds[0])
+    if get_fields is not None:
+        return lambda value: list(map(list, map(get_fields, value)))
     pack_item = packers[0]
     return lambda value: [pack_item(item) for item in value]
 
@@ -140,11 +151,11 @@
 
 @cache
 def _make_unpacker(kind: Any) -> _Unpacker:  # noqa: ANN401
-    """Return what checks a plain value and turns it into one of `kind`.
+    """Return a function that validates a decoded value and converts it to `kind`.
 
-    The kinds are those that messages use. Made once for each kind: a heartbeat has
-    hundreds of fields, and looking at their types each time took three quarters of
-    the time that it takes to read one.
+    Only types that messages use are supported. The function is cached for each type:
+    a heartbeat has hundreds of fields, and inspecting their types every time took three
+    quarters of the time for reading one.
     """
     if _is_message(kind):
         return _make_message_unpacker(kind)
@@ -154,8 +165,8 @@
     if origin is tuple:
         return _make_tuple_unpacker(typing.get_args(kind))
     if origin is types.UnionType:
-        unpack_some = _make_unpacker(typing.get_args(kind)[0])
-        return lambda value: None if value is None else unpack_some(value)
+        unpack_value = _make_unpacker(typing.get_args(kind)[0])
+        return lambda value: None if value is None else unpack_value(value)
     if issubclass(kind, Enum):
         return lambda value: _unpack_enum(kind, value)
     return lambda value: _unpack_plain(kind, value)
@@ -181,15 +192,17 @@
 
 def _make_fields_unpacker(kind: type) -> _Unpacker:
     names = [name for name, _ in _list_types(kind)]
-    kinds = [its for _, its in _list_types(kind)]
-    unpackers = [_make_unpacker(its) for its in kinds]
+    kinds = [field_kind for _, field_kind in _list_types(kind)]
+    unpackers = [_make_unpacker(field_kind) for field_kind in kinds]
 
     def unpack(value: Any) -> Any:  # noqa: ANN401
         if not isinstance(value, list) or len(value) != len(names):
             raise MessageFault(f"expected the {len(names)} fields of {kind.__name__}")
-        # Only plain kinds are the types of their values: nothing is left to unpack.
+        # A value whose type is the annotation itself is plain and needs no unpacking.
         if list(map(type, value)) != kinds:
-            value = [its(item) for its, item in zip(unpackers, value, strict=True)]
+            value = [
+                unpacker(item) for unpacker, item in zip(unpackers, value, strict=True)
+            ]
         return kind(**dict(zip(names, value, strict=True)))
 
     return unpack
@@ -199,20 +212,22 @@
     if kinds[-1] is Ellipsis:
         unpack_item = _make_unpacker(kinds[0])
 
-        def unpack_any(value: Any) -> tuple:  # noqa: ANN401
+        def unpack_list(value: Any) -> tuple:  # noqa: ANN401
             if not isinstance(value, list):
                 raise MessageFault(f"expected a list, found {type(value).__name__}")
             return tuple([unpack_item(item) for item in value])
 
-        return unpack_any
-    unpackers = [_make_unpacker(its) for its in kinds]
+        return unpack_list
+    unpackers = [_make_unpacker(item_kind) for item_kind in kinds]
 
     def unpack(value: Any) -> tuple:  # noqa: ANN401
         if not isinstance(value, list):
             raise MessageFault(f"expected a list, found {type(value).__name__}")
         if len(unpackers) != len(value):
             raise MessageFault(f"expected {len(unpackers)} items, found {len(value)}")
-        return tuple([its(item) for its, item in zip(unpackers, value, strict=True)])
+        return tuple(
+            [unpacker(item) for unpacker, item in zip(unpackers, value, strict=True)]
+        )
 
     return unpack
 
--- a/packages/core/fulmarward_core/codec/tests/calls.py
+++ b/packages/core/fulmarward_core/codec/tests/calls.py
@@ -1,21 +1,21 @@
-"""How many functions of Python a piece of work calls: its cost without a clock."""
+"""Counts calls of Python functions, as a measure of cost independent of the clock."""
 
 import sys
 from collections.abc import Callable
 
 
 def count_calls(work: Callable[[], object]) -> int:
-    """Return how many functions in Python `work` calls, itself included."""
+    """Return how many Python functions run during `work`, including itself."""
     calls = 0
 
-    def note(_frame: object, event: str, _argument: object) -> None:
+    def count_call(_frame: object, event: str, _argument: object) -> None:
         nonlocal calls
         calls += event == "call"
 
-    before = sys.getprofile()
-    sys.setprofile(note)
+    previous_profiler = sys.getprofile()
+    sys.setprofile(count_call)
     try:
         work()
     finally:
-        sys.setprofile(before)
+        sys.setprofile(previous_profiler)
     return calls
