--- a/packages/core/fulmarward_core/fleet/__init__.py
+++ b/packages/core/fulmarward_core/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the targets: services, engines, kinds and records."""
+"""Description of the targets: services, engines, accelerators and target records."""
 
 from fulmarward_core.fleet._types import (
     AcceleratorKind,
