--- a/packages/core/fulmarward_core/discovery/__init__.py
+++ b/packages/core/fulmarward_core/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""Which addresses callers are told to use."""
+"""Selection of the instance addresses that callers use."""
 
 from fulmarward_core.discovery.decisions import order_addresses
 
--- a/packages/core/fulmarward_core/discovery/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/discovery/tests/test_decisions.py
@@ -28,18 +28,18 @@
     )
 
 
-_PLACES = st.lists(
+_MEMBERS = st.lists(
     st.tuples(st.sampled_from(["lx", "px", "qx"]), st.sampled_from(MemberState)),
     max_size=40,
 )
 
 
 class OrderAddressesTest(unittest.TestCase):
-    @given(_PLACES, st.integers(0, 9))
-    def test_alive_ones_only_near_ones_first_and_a_way_out(self, places, seed):
+    @given(_MEMBERS, st.integers(0, 9))
+    def test_only_alive_members_local_first_with_remote_fallback(self, cases, seed):
         members = [
             _make_member(number, data_centre, state)
-            for number, (data_centre, state) in enumerate(places)
+            for number, (data_centre, state) in enumerate(cases)
         ]
         by_address = {member.caller_address: member for member in members}
         addresses = order_addresses(
@@ -49,28 +49,30 @@
         alive = [item for item in members if item.state is MemberState.ALIVE]
         self.assertEqual({item.state for item in chosen} - {MemberState.ALIVE}, set())
         self.assertEqual(len(set(addresses)), min(8, len(alive)))
-        is_far = [member.data_centre != "lx" for member in chosen]
-        self.assertEqual(is_far, sorted(is_far))
-        far = sum(member.data_centre != "lx" for member in alive)
-        self.assertGreaterEqual(sum(is_far), min(2, far))
+        is_remote = [member.data_centre != "lx" for member in chosen]
+        self.assertEqual(is_remote, sorted(is_remote))
+        remote = sum(member.data_centre != "lx" for member in alive)
+        self.assertGreaterEqual(sum(is_remote), min(2, remote))
 
     @settings(max_examples=12)
     @given(st.integers(2, 20), st.integers(0, 9))
-    def test_callers_are_spread_evenly(self, near, seed):
-        members = [_make_member(number) for number in range(near)]
+    def test_callers_are_spread_evenly(self, local_count, seed):
+        members = [_make_member(number) for number in range(local_count)]
         members += [_make_member(100 + number, "px") for number in range(5)]
         generator = random.Random(seed)
-        firsts = Counter(
+        first_addresses = Counter(
             order_addresses(members, data_centre="lx", generator=generator)[0]
-            for _ in range(near * 200)
+            for _ in range(local_count * 200)
         )
-        self.assertEqual(set(firsts), {f"c{number}" for number in range(near)})
-        self.assertLess(max(firsts.values()), 200 * 1.4)
-        self.assertGreater(min(firsts.values()), 200 * 0.6)
+        self.assertEqual(
+            set(first_addresses), {f"c{number}" for number in range(local_count)}
+        )
+        self.assertLess(max(first_addresses.values()), 200 * 1.4)
+        self.assertGreater(min(first_addresses.values()), 200 * 0.6)
 
-    def test_leaving_on_the_platforms_list_is_enough(self):
-        # The platform takes an instance away and says so on its list; the instance
-        # does not know yet. Callers would be sent to it until it is gone.
+    def test_instance_marked_as_leaving_by_the_platform_is_not_used(self):
+        # Guards against sending callers to an instance that the platform is removing.
+        # The platform marks it as leaving in its list before the instance knows.
         table = MemberTable(own_name="i0")
         for number in range(3):
             merge_member(table, _make_member(number), now=0.0)
