--- a/packages/core/fulmarward_core/listing/__init__.py
+++ b/packages/core/fulmarward_core/listing/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances are listed for callers."""
+"""Selection of the instances that are listed for callers."""
 
 from fulmarward_core.listing.decisions import Candidate, choose_listed
 
--- a/packages/core/fulmarward_core/listing/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/listing/tests/test_decisions.py
@@ -6,39 +6,39 @@
 from fulmarward_core.listing.decisions import (
     MAX_LISTED,
     MIN_LISTED,
-    OPEN_REQUESTS_EACH,
+    OPEN_REQUESTS_PER_INSTANCE,
 )
 
 
-def _make_fleet(counts, duties=2):
+def _make_fleet(counts, duty_count=2):
     return [
         Candidate(
-            name=f"{centre}{number:03}",
-            data_centre=centre,
-            address=f"{centre}{number:03}:1",
-            has_duty=number < duties,
+            name=f"{data_centre}{number:03}",
+            data_centre=data_centre,
+            address=f"{data_centre}{number:03}:1",
+            has_duty=number < duty_count,
         )
-        for centre, count in counts.items()
+        for data_centre, count in counts.items()
         for number in range(count)
     ]
 
 
 class ChooseListedTest(unittest.TestCase):
-    def test_small_fleet_is_listed_whole_the_own_data_centre_first(self):
+    def test_small_fleet_is_listed_completely_local_instances_first(self):
         fleet = _make_fleet({"a": 3, "b": 3, "c": 3})
         listed = choose_listed(fleet, data_centre="b", open_requests=500)
         self.assertEqual({item[0] for item in listed[:3]}, {"b"})
         self.assertEqual(len(listed), 9)
 
     def test_idle_data_centre_lists_few_instances_without_duties(self):
-        """Guards against callers that are hit when whoever acts for all is lost."""
+        """Guards against callers that depend on an instance which works for others."""
         fleet = _make_fleet({"a": 39, "b": 39})
         listed = choose_listed(fleet, data_centre="a", open_requests=0)
         self.assertEqual(len(listed), MIN_LISTED)
         self.assertEqual({item[0] for item in listed}, {"a"})
         self.assertFalse({"a000:1", "a001:1"} & set(listed))
 
-    def test_list_grows_with_the_load_up_to_all(self):
+    def test_list_grows_with_the_load_up_to_all_instances(self):
         fleet = _make_fleet({"a": 39})
         sizes = [
             len(choose_listed(fleet, data_centre="a", open_requests=count))
@@ -46,14 +46,14 @@
         ]
         self.assertEqual(sizes, [MIN_LISTED, 12, 20, 39])
 
-    def test_few_that_are_left_are_listed_with_those_of_other_data_centres(self):
-        """Guards against callers with nowhere to go while their data centre is lost."""
+    def test_few_local_instances_are_complemented_with_remote_ones(self):
+        """Guards against callers without an instance while their data centre fails."""
         fleet = _make_fleet({"a": 2, "b": 90})
         listed = choose_listed(fleet, data_centre="a", open_requests=0)
         self.assertEqual(len(listed), MAX_LISTED)
         self.assertEqual({item[0] for item in listed[:2]}, {"a"})
-        gone = choose_listed(fleet, data_centre="c", open_requests=0)
-        self.assertEqual(len(gone), MAX_LISTED)
+        listed_without_local = choose_listed(fleet, data_centre="c", open_requests=0)
+        self.assertEqual(len(listed_without_local), MAX_LISTED)
 
     @given(st.integers(8, 60), st.integers(0, 3000), st.integers(0, 3000))
     def test_more_load_only_adds_instances(self, count, less, more):
@@ -62,5 +62,5 @@
         before = choose_listed(fleet, data_centre="a", open_requests=less)
         after = choose_listed(fleet, data_centre="a", open_requests=more)
         self.assertEqual(after[: len(before)], before)
-        carried = len(after) * OPEN_REQUESTS_EACH
-        self.assertTrue(carried >= more or len(after) == min(count, MAX_LISTED))
+        capacity = len(after) * OPEN_REQUESTS_PER_INSTANCE
+        self.assertTrue(capacity >= more or len(after) == min(count, MAX_LISTED))
