--- a/packages/core/fulmarward_core/platform/__init__.py
+++ b/packages/core/fulmarward_core/platform/__init__.py
@@ -1,4 +1,4 @@
-"""How much one instance may ask of the platform, and when it leaves it in peace."""
+"""Rate limit and circuit breaker for the calls of an instance to the platform."""
 
 from fulmarward_core.platform._types import (
     Bucket,
--- a/packages/core/fulmarward_core/platform/_types.py
+++ b/packages/core/fulmarward_core/platform/_types.py
@@ -1,62 +1,61 @@
-"""Types of the platform slice."""
+"""Types of the rate limit and circuit breaker for platform calls."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class CallKind(Enum):
-    """What a call costs the platform."""
+    """Kind of a platform call; each kind has its own rate limit."""
 
     READ = "read"
     WRITE = "write"
 
 
 class Circuit(Enum):
-    """Whether calls are let through."""
+    """State of the circuit breaker."""
 
-    #: All calls pass.
+    #: All calls are admitted.
     CLOSED = "closed"
-    #: None pass until a time that was drawn at random.
+    #: No call is admitted until a randomly chosen time.
     OPEN = "open"
-    #: One probe is under way; its outcome decides.
+    #: A probe call is in progress; its result closes or reopens the circuit.
     PROBING = "probing"
 
 
 @dataclass(kw_only=True)
 class Bucket:
-    """Calls that may be begun at once; fills at a rate."""
+    """A token bucket; a call takes one token."""
 
-    #: Calls left; negative when some are waiting for their turn.
+    #: Available tokens; negative while admitted calls wait for their start.
     tokens: float
-    #: When it was last filled, seconds on the steady clock.
-    filled_at: float = float("-inf")
+    #: When it was last refilled, in seconds of the monotonic clock.
+    refilled_at: float = float("-inf")
 
 
 @dataclass(kw_only=True)
 class Gate:
-    """What one instance's calls to the platform pass through."""
+    """State of the circuit breaker and the rate limits of an instance."""
 
-    #: Where the circuit stands.
     circuit: Circuit = Circuit.CLOSED
-    #: Failures in a row.
+    #: Number of consecutive failures.
     failures: int = 0
-    #: From when a probe may pass an open circuit.
-    probe_from: float = float("-inf")
-    #: A bucket for each kind of call; made at the first.
+    #: When the next probe may start.
+    next_probe_at: float = float("-inf")
+    #: Token buckets, created at the first call of a kind.
     buckets: dict[CallKind, Bucket] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Wait:
-    """The call may begin after some seconds, 0 for at once."""
+    """The call is admitted and starts after a delay."""
 
-    #: The seconds.
+    #: Delay; 0 to start immediately.
     seconds: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The call may not begin; nothing of it was sent."""
+    """The call is rejected; nothing of it was sent."""
 
-    #: Why, a fixed word for logs.
+    #: Reason code for logs.
     reason: str
--- a/packages/core/fulmarward_core/platform/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/platform/tests/test_decisions.py
@@ -15,11 +15,11 @@
     note_success,
 )
 from fulmarward_core.platform.decisions import (
-    ALL_PER_S,
     FAILURES_TO_OPEN,
-    LEAST_BURST,
-    MOST_PAUSE_S,
-    MOST_WAIT_S,
+    FLEET_CALLS_PER_S,
+    MAX_DELAY_S,
+    MAX_OPEN_S,
+    MIN_BURST,
 )
 
 
@@ -30,53 +30,56 @@
 
 
 class GateTest(unittest.TestCase):
-    def test_no_stampede_after_an_outage(self):
-        # The platform is out for half a minute. 330 instances have work for it all the
-        # time, and when it comes back they all call at once; it goes out again.
+    def test_no_thundering_herd_after_an_outage(self):
+        # Guards against overloading a platform that recovers from an outage of half a
+        # minute: 330 instances constantly have calls for it and could all call at once,
+        # which causes the next outage.
         generator = random.Random(1)
         gates = [Gate() for _ in range(330)]
-        wants = [(generator.uniform(0, 0.1), index) for index in range(330)]
-        heapq.heapify(wants)
+        pending = [(generator.uniform(0, 0.1), index) for index in range(330)]
+        heapq.heapify(pending)
         calls = [0] * 80
-        while wants[0][0] < 80:
-            now, index = heapq.heappop(wants)
+        while pending[0][0] < 80:
+            now, index = heapq.heappop(pending)
             gate = gates[index]
-            verdict = _admit(gate, now)
-            heapq.heappush(wants, (now + generator.uniform(0.05, 0.15), index))
-            if isinstance(verdict, Refused):
+            decision = _admit(gate, now)
+            heapq.heappush(pending, (now + generator.uniform(0.05, 0.15), index))
+            if isinstance(decision, Refused):
                 continue
-            begun = now + verdict.seconds
-            if begun < 80:
-                calls[int(begun)] += 1
-            if 20 <= begun < 50:
+            started = now + decision.seconds
+            if started < 80:
+                calls[int(started)] += 1
+            if 20 <= started < 50:
                 note_failure(gate, now=now, generator=generator)
             else:
                 note_success(gate)
         self.assertLess(max(calls[26:50]), 200)
         after = calls[50:80]
-        self.assertLessEqual(max(after), ALL_PER_S[CallKind.READ] * 1.05)
-        self.assertGreater(sum(after[10:]) / 20, ALL_PER_S[CallKind.READ] * 0.9)
+        self.assertLessEqual(max(after), FLEET_CALLS_PER_S[CallKind.READ] * 1.05)
+        self.assertGreater(sum(after[10:]) / 20, FLEET_CALLS_PER_S[CallKind.READ] * 0.9)
 
     @given(
         st.integers(1, 500),
         st.sampled_from(CallKind),
         st.lists(st.floats(0, 0.5), min_size=1, max_size=60),
     )
-    def test_calls_of_one_instance_stay_at_its_rate(self, instances, kind, pauses):
-        gate, now, begun = Gate(), 0.0, []
+    def test_calls_of_an_instance_respect_its_rate(self, instances, kind, pauses):
+        gate, now, started = Gate(), 0.0, []
         for pause in pauses:
             now += pause
-            verdict = _admit(gate, now, kind=kind, instances=instances)
-            if isinstance(verdict, Wait):
-                self.assertLessEqual(verdict.seconds, MOST_WAIT_S)
-                begun.append(now + verdict.seconds)
-        rate = max(ALL_PER_S[kind] / instances, 1.5 if kind is CallKind.WRITE else 2)
-        burst = max(LEAST_BURST, rate)
-        for index, first in enumerate(begun):
-            for later, last in enumerate(begun[index:], 1):
-                self.assertLessEqual(later, burst + rate * (last - first) + 1.01)
+            decision = _admit(gate, now, kind=kind, instances=instances)
+            if isinstance(decision, Wait):
+                self.assertLessEqual(decision.seconds, MAX_DELAY_S)
+                started.append(now + decision.seconds)
+        rate = max(
+            FLEET_CALLS_PER_S[kind] / instances, 1.5 if kind is CallKind.WRITE else 2
+        )
+        burst = max(MIN_BURST, rate)
+        for index, first in enumerate(started):
+            for count, last in enumerate(started[index:], 1):
+                self.assertLessEqual(count, burst + rate * (last - first) + 1.01)
 
-    def test_the_circuit(self):
+    def test_circuit_opens_probes_and_closes(self):
         gate, generator = Gate(), random.Random(1)
         for _ in range(FAILURES_TO_OPEN):
             self.assertIsInstance(_admit(gate, 0.0), Wait)
@@ -87,15 +90,15 @@
         self.assertEqual(_admit(gate, 1.0), Refused(reason="circuit_probing"))
         note_failure(gate, now=1.0, generator=generator)
         self.assertIs(gate.circuit, Circuit.OPEN)
-        self.assertIsInstance(_admit(gate, 1.0 + MOST_PAUSE_S), Wait)
+        self.assertIsInstance(_admit(gate, 1.0 + MAX_OPEN_S), Wait)
         note_success(gate)
         self.assertEqual((gate.circuit, gate.failures), (Circuit.CLOSED, 0))
 
-    def test_a_probe_that_never_ends_does_not_close_the_platform_for_ever(self):
-        # The call that was the probe is cancelled with the request that wanted it.
-        # Nobody tells its outcome, and every later call is refused.
+    def test_probe_without_a_result_does_not_block_calls_forever(self):
+        # Guards against a probe call that is cancelled together with its request: its
+        # result is never reported, and every later call would be rejected.
         gate, generator = Gate(), random.Random(1)
         for _ in range(FAILURES_TO_OPEN):
             note_failure(gate, now=0.0, generator=generator)
         self.assertIsInstance(_admit(gate, 1.0), Wait)
-        self.assertIsInstance(_admit(gate, 1.0 + MOST_PAUSE_S), Wait)
+        self.assertIsInstance(_admit(gate, 1.0 + MAX_OPEN_S), Wait)
