--- a/packages/core/fulmarward_core/command_line/__init__.py
+++ b/packages/core/fulmarward_core/command_line/__init__.py
@@ -1,4 +1,4 @@
-"""Command lines that do nothing before every argument is understood."""
+"""Command lines that run a command only after all arguments are validated."""
 
 from fulmarward_core.command_line._deferred import defer, run_command_line
 
--- a/packages/core/fulmarward_core/command_line/_deferred.py
+++ b/packages/core/fulmarward_core/command_line/_deferred.py
@@ -1,9 +1,8 @@
-"""Commands that run only after the whole command line was read.
+"""Commands that run only after the whole command line is parsed.
 
-Guards against a mistyped flag that is noticed too late: the library calls a command
-with the arguments it knows and only then refuses the rest, when the command has
-already been carried out. Here the library is given commands that merely note their
-call, and the noted call is carried out after nothing was refused.
+Fire calls a command with the arguments that it knows and only then rejects the rest,
+so a command with a mistyped flag would run before the error is reported. Therefore
+Fire gets wrappers that only record the call, which runs after parsing succeeded.
 """
 
 import functools
@@ -14,32 +13,32 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _NotedCall:
-    """A command and its arguments, bound but not yet carried out."""
+class _DeferredCall:
+    """A command bound to its arguments that has not run yet."""
 
-    carry_out: Callable[[], None]
+    run: Callable[[], None]
 
     def __dir__(self) -> list[str]:
-        """Show no members, so that no argument is taken for one of them."""
+        """Return no members, so that Fire takes no argument for a member."""
         return []
 
 
 def defer(command: Callable[..., None]) -> Callable[..., object]:
-    """Return `command` in a form that notes its call; a decorator for commands."""
+    """Decorate `command` so that a call is recorded instead of executed."""
 
     @functools.wraps(command)
-    def note(*arguments: object, **options: object) -> _NotedCall:
-        return _NotedCall(carry_out=functools.partial(command, *arguments, **options))
+    def record(*arguments: object, **options: object) -> _DeferredCall:
+        return _DeferredCall(run=functools.partial(command, *arguments, **options))
 
-    return note
+    return record
 
 
 def run_command_line(component: object, *, name: str) -> None:
-    """Read the command line for `component` and carry out the noted call."""
-    result = fire.Fire(component, name=name, serialize=_show_nothing)
-    if isinstance(result, _NotedCall):
-        result.carry_out()
+    """Parse the command line for `component` and run the recorded call."""
+    result = fire.Fire(component, name=name, serialize=_hide_deferred_call)
+    if isinstance(result, _DeferredCall):
+        result.run()
 
 
-def _show_nothing(result: object) -> object:
-    return None if isinstance(result, _NotedCall) else result
+def _hide_deferred_call(result: object) -> object:
+    return None if isinstance(result, _DeferredCall) else result
