--- a/packages/router/fulmarward_router/placement/__init__.py
+++ b/packages/router/fulmarward_router/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Giving layers to engines, by one instance at a time."""
+"""Assigns model layers to engines; one instance at a time holds the lease for it."""
 
 from fulmarward_router.placement._lease import LeaseKeeper
 from fulmarward_router.placement._placer import Placer
--- a/packages/router/fulmarward_router/placement/_lease.py
+++ b/packages/router/fulmarward_router/placement/_lease.py
@@ -1,4 +1,4 @@
-"""The lease of the one instance that gives orders, as a row of the store."""
+"""The lease that allows one instance to send layer orders, kept in a store row."""
 
 import asyncio
 import random
@@ -39,22 +39,23 @@
     StoreRefused,
 )
 
-#: The table and key of the lease.
 LEASE_TABLE = "leases"
 LEASE_KEY = "placement"
 
-#: How long the lease lasts. Load: a holder that is killed while layers are missing;
-#: harm: a short one is renewed often and each call is paid for, a long one leaves gaps
-#: open; reason: one call a second, and a successor three seconds after it first looks.
+#: Duration of the lease. A shorter one costs more store calls for renewals; a longer
+#: one leaves gaps open when the holder is killed while layers are missing. Three
+#: seconds cost one call per second, and a successor takes over three seconds after it
+#: first reads the row.
 TERMS = LeaseTerms(term_s=3.0)
 
-#: Seconds between two looks at what is known here anyway, and after the store was out.
+#: Seconds between two checks of local state, and before the next attempt after the
+#: store did not respond.
 LOOK_S = 0.5
-OUT_S = 1.0
+OUTAGE_RETRY_DELAY_S = 1.0
 
 
 class LeaseKeeper:
-    """Takes the lease when it is free and this instance shall, and renews it."""
+    """Acquires the lease when it is free and wanted by this instance, and renews it."""
 
     def __init__(
         self,
@@ -70,27 +71,27 @@
         self._store = store
         self._boot = boot
         self._is_wanted = is_wanted
-        #: Returns whether no instance reaches the store.
+        #: Returns whether the store is unreachable from every instance.
         self._is_store_out = is_store_out
         #: Returns whether the process of an instance with that boot number has ended.
         self._is_gone = is_gone
-        #: Whether orders are sent under a lease that lapsed while the store is out.
+        #: Whether orders are sent under a lease that expired during a store outage.
         self._is_held_over = False
         self._read_clock = read_clock
         self._state = LeaseState(own_name=name, own_boot=boot)
 
     @property
     def fencing(self) -> int:
-        """The number that orders carry."""
+        """The fencing token that orders carry."""
         return self._state.fencing
 
     @property
     def holder(self) -> str:
-        """Name of the holder as last seen, empty when there is none."""
+        """Name of the last known holder, empty when there is none."""
         return self._state.lease.holder
 
     def is_held(self) -> bool:
-        """Return whether orders may be sent now; ask right before each."""
+        """Return whether orders may be sent now. Call it right before each order."""
         now = self._read_clock()
         if may_order(self._state, now=now):
             self._is_held_over = False
@@ -104,7 +105,7 @@
         return is_held_over
 
     def drop(self) -> None:
-        """Believe no more that this instance holds the lease, and read the row."""
+        """Stop treating this instance as the holder, and read the row again."""
         self._state = drop_hold(self._state)
 
     async def run(self) -> None:
@@ -134,11 +135,11 @@
         )
         self._take(event)
         if isinstance(event, StoreOut | WriteLost):
-            return OUT_S * random.uniform(0.5, 1.5)
+            return OUTAGE_RETRY_DELAY_S * random.uniform(0.5, 1.5)
         return 0.0
 
     async def _wait(self, seconds: float) -> float:
-        """Wait for a step's time; one who watches reads the row in between."""
+        """Wait until a step is due; without the lease, also read the row meanwhile."""
         if self._state.phase is Phase.HOLDING:
             return min(max(seconds, 0.0), LOOK_S)
         await asyncio.sleep(min(max(seconds, 0.0), TERMS.term_s / 2))
@@ -178,7 +179,7 @@
 
 
 def _find_lease(rows: tuple[Row, ...]) -> LeaseRead:
-    """Return the lease in rows; one that cannot be read counts as given back."""
+    """Return the lease in `rows`; a row that cannot be decoded counts as released."""
     for row in rows:
         if row.key != LEASE_KEY or row.value is None:
             continue
--- a/packages/router/fulmarward_router/placement/_placer.py
+++ b/packages/router/fulmarward_router/placement/_placer.py
@@ -1,4 +1,4 @@
-"""The task that gives engines their layers while this instance holds the lease."""
+"""The task that assigns layers to engines while this instance holds the lease."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -19,62 +19,62 @@
 from fulmarward_router.ports import OrderOutcome, OrderResult, TargetDialect
 from fulmarward_router.state import ConfigurationHolder
 
-#: Seconds between two looks at the fleet.
-LOOK_S = 0.3
+#: Seconds between two passes over the fleet.
+RECONCILE_INTERVAL_S = 0.3
 
-#: Seconds without a new target after which a fleet that holds nothing is planned as
-#: one. Targets that start together register over some seconds, and a plan of the first
-#: few leaves gaps.
+#: Seconds without a new target after which a fleet that holds no layers is planned as
+#: a whole. Targets that start together register over some seconds, and a plan for the
+#: first few of them leaves gaps.
 SETTLE_DURATION_S = 1.3
-#: Seconds after the first target by which the plan is made in any case.
+#: Maximum seconds between the first target and that plan.
 MAX_SETTLE_DURATION_S = 7.5
 
-#: Seconds for which an order counts as pending before its target's row is believed
-#: again; one without an answer may be carried out seconds later.
+#: Seconds for which a pending order overrides its target's row in the store. An order
+#: that was not answered may still be carried out seconds later.
 PENDING_DURATION_S = 6.0
 
-#: Seconds for which a gap must last before neighbours are given more layers: where a
-#: target that does not answer may return, and where it is gone or leaving. A leaving
-#: target serves on for two seconds, in which its neighbours can be ready. A spare one
-#: is moved at once, since nothing is given up for it.
+#: Seconds for which a gap must last before neighbours are given more layers: the first
+#: applies while an unresponsive target may return, the second when the target is gone
+#: or leaving. A leaving target serves for two more seconds, which lets its neighbours
+#: become ready. Orders to spare targets also use the second: no capacity is lost.
 MIN_GAP_DURATION_S = 3.0
-MIN_SURE_GAP_DURATION_S = 0.3
+MIN_CONFIRMED_GAP_DURATION_S = 0.3
 
-#: Share of a service's targets that may count as leaving without notice. Beyond it the
-#: fault is more likely at the instance that reports it.
+#: Maximum share of a service's targets that are treated as leaving without notice.
+#: Above it, the fault is more likely at the instance that reports it.
 MAX_UNANNOUNCED_SHARE = 0.5
 
-#: Seconds for a target's report before an order.
+#: Timeout for reading a target's report before an order, in seconds.
 REPORT_TIMEOUT_S = 0.5
 
-#: Upper bound on orders in flight.
+#: Maximum number of concurrent orders.
 MAX_ORDERS_IN_FLIGHT = 12
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Pending:
-    """An order whose effect does not show yet."""
+class _PendingOrder:
+    """An order that the target's row does not reflect yet."""
 
     layers: LayerRange
     until: float
-    #: Start of the target that it was given to.
+    #: Start time of the process that received the order.
     started_ms: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Held:
-    """The layers that a target holds, or was ordered to hold."""
+class _LayerHolder:
+    """A target with the layers that it holds or was ordered to hold."""
 
     target: TargetRecord
     layers: LayerRange
 
 
-def _list_held(
+def _list_layer_holders(
     targets: Sequence[TargetRecord], pending: Mapping[str, LayerRange]
-) -> list[_Held]:
+) -> list[_LayerHolder]:
     ranges = {target.name: target.layers for target in targets} | pending
     return [
-        _Held(target=target, layers=layers)
+        _LayerHolder(target=target, layers=layers)
         for target in targets
         if (layers := ranges[target.name]) is not None
     ]
@@ -85,13 +85,14 @@
 
 
 class Placer:
-    """Plans a fleet that holds nothing, and repairs one that does.
-
-    Guards against a peer whose own link is full: it tells that sound targets are lost,
-    there are gaps that are none, and a target whose layers change refuses what runs
-    through it. So a target counts as a holder until it is seen here not to answer, and
-    one that a peer lost is asked as soon as a gap would open without it. One that
-    fails requests is there, and holds its layers.
+    """Plans the layers of a fleet that holds none, and closes gaps in one that does.
+
+    A peer whose own link is saturated reports healthy targets as unreachable. Acting on
+    such reports would close gaps that do not exist, and a target whose layers change
+    rejects the requests that run through it. So a target counts as a holder until this
+    instance itself gets no answer from it. If a gap would open without a target that a
+    peer reported, this instance probes it. A target that fails requests still runs and
+    holds its layers.
     """
 
     def __init__(
@@ -111,22 +112,22 @@
         self._configuration = configuration
         self._catalogue = catalogue
         self._suspicions = suspicions
-        #: Begins to find out which of some targets are lost.
+        #: Starts probes that determine which of the given targets are unreachable.
         self._ask = ask
-        #: Returns how many instances choose paths.
+        #: Returns the number of instances that choose paths.
         self._count_choosers = count_choosers
         self._read_clock = read_clock
-        self._pending: dict[str, _Pending] = {}
+        self._pending: dict[str, _PendingOrder] = {}
         self._first_seen: dict[str, float] = {}
-        #: Since when layers lack a holder beyond doubt, by service and data centre.
+        #: Since when each layer lacks a confirmed holder, by service and data centre.
         self._missing_since: dict[tuple[str, str], dict[int, float]] = {}
-        #: Starts of targets that this instance has given an order.
+        #: Target processes (name, start time) to which this instance has sent an order.
         self._ordered: set[tuple[str, int]] = set()
 
     async def run(self) -> None:
-        """Look at the fleet again and again until cancelled."""
+        """Reconcile every engine service at a fixed interval until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(RECONCILE_INTERVAL_S)
             current = self._configuration.current
             if current is None or not self._catalogue.is_known:
                 continue
@@ -136,10 +137,10 @@
                 continue
             for spec in current.services.values():
                 if spec.engine is not None and spec.engine.kinds:
-                    await self._look(spec.name, spec.engine)
+                    await self._reconcile(spec.name, spec.engine)
 
     def _list_present(self, service: str, now: float) -> list[TargetRecord]:
-        """Return the targets that the store lists and that are not leaving."""
+        """Return the targets in the store that are not leaving."""
         return [
             record
             for record in self._catalogue.list_targets(now=now)
@@ -149,14 +150,14 @@
     def _list_targets(
         self, present: Sequence[TargetRecord], now: float
     ) -> list[TargetRecord]:
-        """Return the targets that hold layers, or may be given some."""
-        unseen = self._list_unseen(present, now)
+        """Return the targets that hold layers or are eligible for some."""
+        refusing = self._list_refusing(present, now)
         records = [
             record
             for record in present
             if not self._suspicions.is_unreachable(record.name, now=now)
             and not self._is_reported_empty(record, now)
-            and record.name not in unseen
+            and record.name not in refusing
         ]
         names = {record.name for record in records}
         for name in list(self._first_seen):
@@ -166,12 +167,12 @@
             self._first_seen.setdefault(record.name, now)
         return records
 
-    def _list_unseen(
+    def _list_refusing(
         self, present: Sequence[TargetRecord], now: float
     ) -> frozenset[str]:
-        """Return the targets that are leaving while the store cannot say so.
+        """Return the targets taken as leaving while the store cannot tell.
 
-        Nobody is believed to when too many would be.
+        Returns none if they exceed `MAX_UNANNOUNCED_SHARE`.
         """
         if not self._catalogue.may_lack_leaving(now=now):
             return frozenset()
@@ -182,11 +183,11 @@
         return frozenset(names)
 
     def _is_reported_empty(self, record: TargetRecord, now: float) -> bool:
-        """Return whether a target holds nothing and is unreachable by report."""
+        """Return whether a target without layers was reported unreachable by a peer."""
         is_empty = record.layers is None and record.name not in self._pending
         return is_empty and self._suspicions.is_indirect(record.name, now=now)
 
-    async def _look(self, service: str, engine: EngineModel) -> None:
+    async def _reconcile(self, service: str, engine: EngineModel) -> None:
         now = self._read_clock()
         present = self._list_present(service, now)
         targets = self._list_targets(present, now)
@@ -195,10 +196,12 @@
             return
         instances = self._count_choosers()
         pending = {name: item.layers for name, item in self._pending.items()}
-        held = _list_held(targets, pending)
-        self._doubt_told(service, engine, present, held, now)
-        is_blank = not pending and all(target.layers is None for target in targets)
-        if is_blank:
+        held = _list_layer_holders(targets, pending)
+        self._verify_reported_losses(service, engine, present, held, now)
+        is_empty_fleet = not pending and all(
+            target.layers is None for target in targets
+        )
+        if is_empty_fleet:
             if not self._has_settled(targets, now):
                 return
             orders = [
@@ -208,8 +211,8 @@
         else:
             orders = plan_repairs(engine, targets, pending, instances=instances)
             by_name = {target.name: target for target in targets}
-            # Those that do not answer may be back.
-            lost = [
+            # Unreachable targets may return with their layers.
+            unreachable = [
                 r for r in present if self._suspicions.is_unreachable(r.name, now=now)
             ]
             orders = [
@@ -217,7 +220,12 @@
                 for order in orders
                 if order.reason == "empty"
                 or self._is_due(
-                    order, by_name[order.assignment.target], engine, held, lost, now
+                    order,
+                    by_name[order.assignment.target],
+                    engine,
+                    held,
+                    unreachable,
+                    now,
                 )
             ]
         await self._send_all(targets, orders)
@@ -228,55 +236,57 @@
         return is_quiet or now - min(seen) >= MAX_SETTLE_DURATION_S
 
     def _drop_pending(self, targets: Sequence[TargetRecord], now: float) -> None:
-        """Forget orders that show in their target's row, lasted too long, or whose
-        target began anew.
+        """Remove orders whose target shows the result, is gone or has restarted, and
+        those that have expired.
         """
         by_name = {target.name: target for target in targets}
         for name, item in list(self._pending.items()):
             target = by_name.get(name)
             is_done = target is not None and target.layers == item.layers
-            is_anew = target is not None and target.started_ms != item.started_ms
-            if is_done or is_anew or target is None or now >= item.until:
+            has_restarted = target is not None and target.started_ms != item.started_ms
+            if is_done or has_restarted or target is None or now >= item.until:
                 del self._pending[name]
 
-    def _doubt_told(
+    def _verify_reported_losses(
         self,
         service: str,
         engine: EngineModel,
         present: Sequence[TargetRecord],
-        held: Sequence[_Held],
+        held: Sequence[_LayerHolder],
         now: float,
     ) -> None:
-        """Ask the targets that a peer lost, and on which something depends here.
+        """Probe the targets that a peer reported unreachable, if a gap depends on them.
 
-        The time of a gap begins with the word, so that one that is true costs no more
-        for being made sure of.
+        The duration of a gap counts from the report, so that probing does not delay
+        the repair of a real gap.
         """
-        asked = [
+        to_probe = [
             record.name for record in present if self._is_reported_empty(record, now)
         ]
         for data_centre in {item.target.data_centre for item in held}:
-            near = [item for item in held if item.target.data_centre == data_centre]
-            told = [
+            local = [item for item in held if item.target.data_centre == data_centre]
+            reported = [
                 item.target.name
-                for item in near
+                for item in local
                 if self._suspicions.is_indirect(item.target.name, now=now)
             ]
-            sure = [item.layers for item in near if item.target.name not in told]
-            missing = find_gaps(engine.layers, sure)
+            confirmed = [
+                item.layers for item in local if item.target.name not in reported
+            ]
+            missing = find_gaps(engine.layers, confirmed)
             self._note_missing((service, data_centre), missing, now)
-            if missing != find_gaps(engine.layers, [item.layers for item in near]):
-                asked += told
-        if asked:
-            self._ask(asked)
+            if missing != find_gaps(engine.layers, [item.layers for item in local]):
+                to_probe += reported
+        if to_probe:
+            self._ask(to_probe)
 
     def _note_missing(
         self, key: tuple[str, str], gaps: Sequence[LayerRange], now: float
     ) -> None:
-        known = self._missing_since.get(key, {})
+        previous = self._missing_since.get(key, {})
         layers = [layer for gap in gaps for layer in range(gap.start, gap.end)]
-        self._missing_since[key] = {layer: known.get(layer, now) for layer in layers}
-        if known.keys() != set(layers):
+        self._missing_since[key] = {layer: previous.get(layer, now) for layer in layers}
+        if previous.keys() != set(layers):
             service, data_centre = key
             log_event(
                 "layers_missing",
@@ -290,33 +300,33 @@
         order: LayerOrder,
         target: TargetRecord,
         engine: EngineModel,
-        held: Sequence[_Held],
-        lost: Sequence[TargetRecord],
+        held: Sequence[_LayerHolder],
+        unreachable: Sequence[TargetRecord],
         now: float,
     ) -> bool:
-        """Whether an order is to be sent now: the gap must have lasted first."""
+        """Return whether the gap that an order closes has lasted long enough."""
         data_centre = target.data_centre
-        near = [item.layers for item in held if item.target.data_centre == data_centre]
-        gaps = find_gaps(engine.layers, near)
-        doubted = [
+        local = [item.layers for item in held if item.target.data_centre == data_centre]
+        gaps = find_gaps(engine.layers, local)
+        unreachable_layers = [
             record.layers
-            for record in lost
+            for record in unreachable
             if record.data_centre == data_centre and record.layers is not None
         ]
-        is_sure = find_gaps(engine.layers, near + doubted) == gaps
+        is_confirmed = find_gaps(engine.layers, local + unreachable_layers) == gaps
         wait_s = (
-            MIN_SURE_GAP_DURATION_S
-            if is_sure or order.reason == "spare"
+            MIN_CONFIRMED_GAP_DURATION_S
+            if is_confirmed or order.reason == "spare"
             else MIN_GAP_DURATION_S
         )
         since = self._missing_since.get((target.service, data_centre), {})
-        closed = [gap for gap in gaps if _overlap(gap, order.assignment.layers)]
-        # One that shifts makes way for others, beside the gap itself.
+        closed_gaps = [gap for gap in gaps if _overlap(gap, order.assignment.layers)]
+        # An order that overlaps no gap shifts layers to make room for other orders.
         layers = [
-            layer for gap in closed or gaps for layer in range(gap.start, gap.end)
+            layer for gap in closed_gaps or gaps for layer in range(gap.start, gap.end)
         ]
-        begun_at = max((since.get(layer, now) for layer in layers), default=now)
-        return now - begun_at >= wait_s
+        oldest_at = max((since.get(layer, now) for layer in layers), default=now)
+        return now - oldest_at >= wait_s
 
     async def _send_all(
         self, targets: Sequence[TargetRecord], orders: Sequence[LayerOrder]
@@ -331,7 +341,7 @@
         await asyncio.gather(*(send(order) for order in orders))
 
     async def _send(self, target: TargetRecord, order: LayerOrder) -> None:
-        """Send one order, if the lease is still held right now."""
+        """Send one order if the lease is still held."""
         if not self._lease.is_held():
             return
         layers = order.assignment.layers
@@ -339,7 +349,7 @@
         if accepted is None or not self._lease.is_held():
             return
         fencing = self._lease.fencing
-        self._pending[target.name] = _Pending(
+        self._pending[target.name] = _PendingOrder(
             layers=layers,
             until=self._read_clock() + PENDING_DURATION_S,
             started_ms=target.started_ms,
@@ -347,7 +357,7 @@
         result = await self._dialect.order_layers(
             target, layers, fencing=fencing, orders_accepted=accepted
         )
-        self._take_result(target, order.assignment, result)
+        self._apply_result(target, order.assignment, result)
         log_event(
             "layers_ordered",
             target=target.name,
@@ -362,11 +372,11 @@
         )
 
     async def _count_accepted(self, target: TargetRecord) -> int | None:
-        """Return how many orders a target has accepted, `None` if it cannot be asked.
+        """Return how many orders a target has accepted, `None` without an answer.
 
-        One that holds nothing and was given no order since it started has taken none.
-        An order says this number, so that one carried out late changes nothing that
-        was ordered after it.
+        A target without layers that received no order since its start has accepted
+        none. Each order carries this number as its precondition, so that a delayed
+        order cannot override a later one.
         """
         key = (target.name, target.started_ms)
         if target.layers is None and key not in self._ordered:
@@ -375,7 +385,7 @@
         report = await self._dialect.read_report(target, REPORT_TIMEOUT_S)
         return None if report is None else report.orders_accepted
 
-    def _take_result(
+    def _apply_result(
         self, target: TargetRecord, assignment: Assignment, result: OrderResult
     ) -> None:
         if result.outcome is OrderOutcome.FENCED:
--- a/packages/router/fulmarward_router/placement/tests/test_placer.py
+++ b/packages/router/fulmarward_router/placement/tests/test_placer.py
@@ -13,22 +13,22 @@
 from fulmarward_router.placement import Placer
 from fulmarward_router.ports import OrderOutcome, OrderResult, TargetReport
 
-#: A data centre with targets to spare, and one in which neighbours must close a gap.
+#: A fleet with spare targets, and one in which neighbours must close a gap.
 _SPARE = {"a": {"large": 5, "middle": 4, "small": 6}}
 _TIGHT = {"a": {"middle": 8, "small": 4}, "b": {"large": 6}}
 
-#: Seconds from a word on a lost target to the order: two looks, and some to spare.
-_TWO_LOOKS_S = 0.65
+#: Maximum seconds from a report to the order: two passes and a margin.
+_TWO_PASSES_S = 0.65
 
-#: Seconds by which each wait ends late.
-_LATE_S = 0.001
+#: Seconds by which each timer overruns.
+_TIMER_OVERRUN_S = 0.001
 
-#: Seconds between two heartbeats of a peer, each of which repeats its word.
-_BEAT_S = 0.4
+#: Seconds between two heartbeats of a peer, each of which repeats its reports.
+_HEARTBEAT_INTERVAL_S = 0.4
 
 
-class _PlayedSelector(selectors.DefaultSelector):
-    """Waits take no time, the clock goes on by them."""
+class _SimulatedSelector(selectors.DefaultSelector):
+    """Advances a simulated clock instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -37,12 +37,12 @@
     def select(self, timeout=None):
         events = super().select(0)
         if not events and timeout:
-            self.now += timeout + _LATE_S
+            self.now += timeout + _TIMER_OVERRUN_S
         return events
 
 
-def _play(work):
-    selector = _PlayedSelector()
+def _run_simulated(work):
+    selector = _SimulatedSelector()
 
     def make_loop():
         loop = asyncio.SelectorEventLoop(selector)
@@ -74,26 +74,26 @@
 
 
 class _Dialect:
-    """Targets that take orders; the silent ones answer nothing.
+    """Targets that accept orders; the unresponsive ones never answer.
 
-    Where `hears` is false, no probe is answered in time, and longer calls are.
+    If `receives_answers` is false, probes time out, while longer calls succeed.
     """
 
-    def __init__(self, silent, hears):
-        self._silent = silent
-        self._hears = hears
-        self.asked = []
+    def __init__(self, unresponsive, receives_answers):
+        self._unresponsive = unresponsive
+        self._receives_answers = receives_answers
+        self.probed = []
         self.orders = []
 
     async def is_there(self, record, timeout_s):
-        self.asked.append(record.name)
-        if not self._hears:
+        self.probed.append(record.name)
+        if not self._receives_answers:
             await asyncio.sleep(timeout_s)
             return False
         return await self.read_report(record, timeout_s) is not None
 
     async def read_report(self, record, timeout_s):
-        if record.name in self._silent:
+        if record.name in self._unresponsive:
             await asyncio.sleep(timeout_s)
             return None
         return TargetReport(layers=record.layers, orders_accepted=1, pace=1.0)
@@ -103,18 +103,18 @@
         return OrderResult(outcome=OrderOutcome.TAKEN)
 
 
-def _list_fleet(counts):
+def _make_placed_fleet(counts):
     fleet = make_fleet(counts)
     plan = plan_layers(ENGINE, fleet, instances=4)
     layers = {item.target: item.layers for item in plan}
     return [replace(target, layers=layers[target.name]) for target in fleet]
 
 
-def _take_layers(fleet, names):
+def _remove_layers(fleet, names):
     return [replace(t, layers=None) if t.name in names else t for t in fleet]
 
 
-def _list_rows(fleet):
+def _make_rows(fleet):
     return [
         KnownRow(name=item.name, version=1, value=b"-", record=item, heard_at=100.0)
         for item in fleet
@@ -122,15 +122,15 @@
 
 
 class _Instance:
-    """The holder of the lease, whose peer tells it of losses."""
+    """The lease holder, with a peer that reports unreachable targets."""
 
-    def __init__(self, read_clock, fleet, silent, hears):
+    def __init__(self, read_clock, fleet, unresponsive, receives_answers):
         self.read_clock = read_clock
         self.table = SuspicionTable()
-        self.dialect = _Dialect(silent, hears)
+        self.dialect = _Dialect(unresponsive, receives_answers)
         catalogue = TargetCatalogue()
-        catalogue.take_all(_list_rows(fleet), 1, now=read_clock())
-        self.watch = FailureDetector(
+        catalogue.take_all(_make_rows(fleet), 1, now=read_clock())
+        self.failure_detector = FailureDetector(
             dialect=self.dialect,
             catalogue=catalogue,
             suspicions=self.table,
@@ -144,169 +144,183 @@
             configuration=_Holder(_Configuration({"pool": pool})),
             catalogue=catalogue,
             suspicions=self.table,
-            ask=self.watch.probe,
+            ask=self.failure_detector.probe,
             count_choosers=lambda: 4,
             read_clock=read_clock,
         )
 
-    async def run(self, seconds, beat):
-        """Run for a while, with `beat` at each heartbeat of the peer."""
+    async def run(self, seconds, on_heartbeat):
+        """Run for some seconds; call `on_heartbeat` at each heartbeat of the peer."""
         tasks = [
             asyncio.create_task(self.placer.run()),
-            asyncio.create_task(self.watch.run()),
+            asyncio.create_task(self.failure_detector.run()),
         ]
         self.began_at = self.read_clock()
         while self.read_clock() - self.began_at < seconds:
-            beat(self)
-            await asyncio.sleep(_BEAT_S)
+            on_heartbeat(self)
+            await asyncio.sleep(_HEARTBEAT_INTERVAL_S)
         for task in tasks:
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await task
 
     def list_orders(self):
-        """Return who was ordered to hold what, and when, from the first word on."""
+        """Return seconds since the first report, target and layers of each order."""
         return [
             (round(at - self.began_at, 3), name, f"{layers.start}-{layers.end}")
             for at, name, layers in self.dialect.orders
         ]
 
 
-def _run(counts, beat, *, silent=(), hears=True, empty=(), seconds=5.0):
+def _run(
+    counts,
+    on_heartbeat,
+    *,
+    unresponsive=(),
+    receives_answers=True,
+    empty=(),
+    seconds=5.0,
+):
     async def work(read_clock):
-        fleet = _take_layers(_list_fleet(counts), empty)
-        instance = _Instance(read_clock, fleet, silent, hears)
-        await instance.run(seconds, beat)
+        fleet = _remove_layers(_make_placed_fleet(counts), empty)
+        instance = _Instance(read_clock, fleet, unresponsive, receives_answers)
+        await instance.run(seconds, on_heartbeat)
         return instance
 
-    return _play(work)
+    return _run_simulated(work)
 
 
-def _tell(*names):
-    """A peer's heartbeat that says that targets are lost."""
+def _report_losses(*names):
+    """Return a heartbeat handler that reports targets as unreachable."""
 
-    def beat(instance):
+    def on_heartbeat(instance):
         for name in names:
             now = instance.read_clock()
             instance.table.record_indirect_failure(name, duration_s=2.0, now=now)
 
-    return beat
+    return on_heartbeat
 
 
-class DoubtedTargetsTest(unittest.TestCase):
-    def test_word_on_sound_targets_moves_no_layers(self):
-        # Callers are refused with 421 and 503 though all targets are sound. The link
-        # of one instance is full, it takes what it cannot hear for lost and tells the
-        # lease's holder; that saw a gap where there is none and moved the layers of a
-        # target, which refused what ran through it. Of a word on one sound target an
-        # order came after two looks.
-        instance = _run(_SPARE, _tell("a-large-4"))
+class ReportedLossesTest(unittest.TestCase):
+    def test_false_report_moves_no_layers(self):
+        # An instance with a saturated link reports healthy targets as unreachable. The
+        # lease holder used to see a gap that did not exist and, after two passes, to
+        # move the layers of a target, which then rejected the requests that ran
+        # through it: callers got 421 and 503 although all targets were healthy.
+        instance = _run(_SPARE, _report_losses("a-large-4"))
         self.assertEqual(instance.list_orders(), [])
-        # One that answered is not asked again while its answer counts.
-        self.assertLessEqual(instance.dialect.asked.count("a-large-4"), 3)
-
-    def test_told_target_on_which_nothing_depends_is_not_asked(self):
-        instance = _run(_SPARE, _tell("a-small-2"))
-        self.assertEqual(instance.dialect.asked, [])
-
-    def test_target_that_holds_nothing_is_asked_before_it_is_given_layers(self):
-        for silent, expected in (([], ["a-large-4"]), (["a-large-4"], ["a-middle-0"])):
-            with self.subTest(silent=silent):
+        # A target that answered is not probed again while its answer is valid.
+        self.assertLessEqual(instance.dialect.probed.count("a-large-4"), 3)
+
+    def test_reported_target_that_closes_no_gap_is_not_probed(self):
+        instance = _run(_SPARE, _report_losses("a-small-2"))
+        self.assertEqual(instance.dialect.probed, [])
+
+    def test_reported_target_without_layers_is_probed_before_it_gets_any(self):
+        for unresponsive, expected in (
+            ([], ["a-large-4"]),
+            (["a-large-4"], ["a-middle-0"]),
+        ):
+            with self.subTest(unresponsive=unresponsive):
                 instance = _run(
-                    _SPARE, _tell("a-large-4"), silent=silent, empty=["a-large-4"]
+                    _SPARE,
+                    _report_losses("a-large-4"),
+                    unresponsive=unresponsive,
+                    empty=["a-large-4"],
                 )
                 self.assertEqual([o[1] for o in instance.list_orders()], expected)
 
-    def test_word_on_all_targets_moves_no_layers(self):
-        names = [target.name for target in _list_fleet(_SPARE)]
-        self.assertEqual(_run(_SPARE, _tell(*names)).list_orders(), [])
+    def test_false_reports_on_all_targets_move_no_layers(self):
+        names = [target.name for target in _make_placed_fleet(_SPARE)]
+        self.assertEqual(_run(_SPARE, _report_losses(*names)).list_orders(), [])
 
-    def test_target_that_fails_requests_holds_its_layers(self):
-        # A target that answers with failures is there, and holds what it holds; it is
-        # left out for three seconds, and a target that moves is away for longer.
-        def beat(instance):
+    def test_target_that_fails_requests_keeps_its_layers(self):
+        # A target that answers with errors still holds its layers. It is excluded for
+        # three seconds, whereas moving its layers would take it away for longer.
+        def on_heartbeat(instance):
             instance.table.record_error("a-large-4", now=instance.read_clock())
 
-        self.assertEqual(_run(_SPARE, beat).list_orders(), [])
+        self.assertEqual(_run(_SPARE, on_heartbeat).list_orders(), [])
 
-    def test_holder_that_hears_nobody_moves_no_layers(self):
-        instance = _run(_SPARE, _tell("a-large-4"), hears=False)
+    def test_lease_holder_without_probe_answers_moves_no_layers(self):
+        instance = _run(_SPARE, _report_losses("a-large-4"), receives_answers=False)
         self.assertEqual(instance.list_orders(), [])
 
-    def test_silent_target_is_replaced_after_two_looks(self):
-        instance = _run(_SPARE, _tell("a-large-4"), silent=["a-large-4"])
+    def test_unresponsive_target_is_replaced_after_two_passes(self):
+        instance = _run(_SPARE, _report_losses("a-large-4"), unresponsive=["a-large-4"])
         [(after_s, name, layers)] = instance.list_orders()
         self.assertEqual((name, layers), ("a-middle-0", "71-80"))
-        self.assertLessEqual(after_s, _TWO_LOOKS_S)
+        self.assertLessEqual(after_s, _TWO_PASSES_S)
 
-    def test_silent_target_is_replaced_beside_sound_ones_that_are_told(self):
-        told = _tell("a-large-4", "a-large-0", "a-small-2")
-        instance = _run(_SPARE, told, silent=["a-large-4"])
+    def test_unresponsive_target_is_replaced_among_false_reports(self):
+        reported = _report_losses("a-large-4", "a-large-0", "a-small-2")
+        instance = _run(_SPARE, reported, unresponsive=["a-large-4"])
         [(after_s, name, layers)] = instance.list_orders()
         self.assertEqual((name, layers), ("a-middle-0", "71-80"))
-        self.assertLessEqual(after_s, _TWO_LOOKS_S)
+        self.assertLessEqual(after_s, _TWO_PASSES_S)
 
-    def test_target_lost_by_own_sight_is_replaced_without_a_word(self):
-        def beat(instance):
-            instance.watch.probe(["a-large-4"])
+    def test_target_that_fails_own_probe_is_replaced_without_a_report(self):
+        def on_heartbeat(instance):
+            instance.failure_detector.probe(["a-large-4"])
 
-        instance = _run(_SPARE, beat, silent=["a-large-4"])
+        instance = _run(_SPARE, on_heartbeat, unresponsive=["a-large-4"])
         [(after_s, name, layers)] = instance.list_orders()
         self.assertEqual((name, layers), ("a-middle-0", "71-80"))
-        self.assertLessEqual(after_s, _TWO_LOOKS_S)
+        self.assertLessEqual(after_s, _TWO_PASSES_S)
 
-    def test_time_of_a_gap_that_was_closed_meanwhile_does_not_count(self):
-        # Twice a target is dark for less than the three seconds of a gap.
-        def beat(instance):
+    def test_duration_of_an_earlier_gap_does_not_count(self):
+        # Two outages of a target, each shorter than the three seconds of a gap.
+        def on_heartbeat(instance):
             after_s = instance.read_clock() - instance.began_at
             if after_s < 0.2 or 4.6 < after_s < 5.0:
                 instance.table.record_failure("a-small-0", now=instance.read_clock())
 
-        self.assertEqual(_run(_TIGHT, beat, seconds=6.5).list_orders(), [])
+        self.assertEqual(_run(_TIGHT, on_heartbeat, seconds=6.5).list_orders(), [])
 
-    def test_data_centre_that_comes_back_empty_is_given_layers(self):
-        # One look plans its empty targets, and may have others of them take more.
+    def test_data_centre_that_returns_empty_is_given_layers(self):
+        # One pass plans all empty targets, and may assign more layers to some of them.
         for counts in (_TIGHT, {"a": {"middle": 9}, "b": {"large": 6}}):
-            fleet = _list_fleet(counts)
+            fleet = _make_placed_fleet(counts)
             empty = {target.name for target in fleet if target.data_centre == "a"}
             with self.subTest(counts=counts):
                 instance = _run(counts, lambda _: None, empty=empty, seconds=3.0)
                 ordered = {order[1] for order in instance.list_orders()}
                 self.assertEqual(ordered, empty)
 
-    def test_neighbours_stand_in_once_a_target_was_silent_for_three_seconds(self):
-        instance = _run(_TIGHT, _tell("a-small-0"), silent=["a-small-0"])
+    def test_neighbours_replace_a_target_unresponsive_for_three_seconds(self):
+        instance = _run(_TIGHT, _report_losses("a-small-0"), unresponsive=["a-small-0"])
         orders = instance.list_orders()
         ordered = [(name, layers) for _, name, layers in orders]
         self.assertEqual(ordered, [("a-middle-0", "0-11"), ("a-middle-1", "11-21")])
         for after_s, _, _ in orders:
             self.assertGreaterEqual(after_s, 3.0)
-            self.assertLessEqual(after_s, 3.0 + _TWO_LOOKS_S)
+            self.assertLessEqual(after_s, 3.0 + _TWO_PASSES_S)
 
 
-class RefusingTargetsTest(unittest.TestCase):
-    """The store is out, and targets refuse although they seem to have room."""
+class RefusalReportsTest(unittest.TestCase):
+    """Targets with apparent capacity refuse requests during a store outage."""
 
-    def test_targets_that_leave_unseen_are_replaced(self):
-        def beat(instance):
+    def test_targets_that_leave_unannounced_are_replaced(self):
+        def on_heartbeat(instance):
             now = instance.read_clock()
             instance.table.refusals.merge_reports(["a-small-0"], now=now)
 
-        ordered = [order[1] for order in _run(_TIGHT, beat).list_orders()]
+        ordered = [order[1] for order in _run(_TIGHT, on_heartbeat).list_orders()]
         self.assertEqual(ordered, ["a-middle-0", "a-middle-1"])
 
-    def test_word_that_most_targets_refuse_moves_no_layers(self):
-        # While the store is out, sound targets are given other layers and refuse what
-        # runs through them. A peer hears little of what others reserved, so that full
-        # targets seem to have room, and tells the lease's holder that they are leaving.
-        names = [target.name for target in _list_fleet(_TIGHT)]
-        told = [name for name in names if "middle" not in name]
+    def test_reports_that_most_targets_refuse_move_no_layers(self):
+        # A peer that receives few reservations of others takes full targets for ones
+        # with room, and reports their refusals to the lease holder as leaving. During a
+        # store outage, the holder used to give healthy targets other layers, which made
+        # them reject the requests that ran through them.
+        names = [target.name for target in _make_placed_fleet(_TIGHT)]
+        reported = [name for name in names if "middle" not in name]
 
-        def beat(instance):
-            instance.table.refusals.merge_reports(told, now=instance.read_clock())
+        def on_heartbeat(instance):
+            instance.table.refusals.merge_reports(reported, now=instance.read_clock())
 
-        self.assertGreater(len(told), len(names) / 2)
-        self.assertEqual(_run(_TIGHT, beat).list_orders(), [])
+        self.assertGreater(len(reported), len(names) / 2)
+        self.assertEqual(_run(_TIGHT, on_heartbeat).list_orders(), [])
 
 
 if __name__ == "__main__":
