--- a/packages/router/fulmarward_router/daemon.py
+++ b/packages/router/fulmarward_router/daemon.py
@@ -116,7 +116,7 @@
     reload: asyncio.Event
 
 
-async def run_router(settings: RouterSettings, parts: PlatformAdapter) -> bool:
+async def run_router(settings: RouterSettings, adapter: PlatformAdapter) -> bool:
     """Run an instance until SIGTERM; return whether no background task failed."""
     start_logging(instance=settings.name, level=settings.log_level)
     signals = _watch_signals()
@@ -128,7 +128,7 @@
     async with target_session, store_session:
         instance = _Instance(
             settings=settings,
-            parts=parts,
+            adapter=adapter,
             target_session=target_session,
             store_session=store_session,
             signals=signals,
@@ -145,13 +145,13 @@
         self,
         *,
         settings: RouterSettings,
-        parts: PlatformAdapter,
+        adapter: PlatformAdapter,
         target_session: aiohttp.ClientSession,
         store_session: aiohttp.ClientSession,
         signals: _Signals,
     ) -> None:
         self.settings = settings
-        self._parts = parts
+        self._adapter = adapter
         self._signals = signals
         self._clock = clock = time.monotonic
         self._has_failed = False
@@ -186,10 +186,10 @@
             is_ready=self.is_ready,
             read_clock=clock,
         )
-        self.store = parts.make_store(
+        self.store = adapter.make_store(
             store_session, settings.store_address, self._count_call
         )
-        self.dialect = parts.make_dialect(target_session, self._count_call)
+        self.dialect = adapter.make_dialect(target_session, self._count_call)
         self.configuration = ConfigurationHolder(
             decode=self.meter.measure(
                 "configuration_decoding", self.store.decode_configuration
@@ -461,7 +461,7 @@
                 is_signalled = False
             self._signals.reload.clear()
             try:
-                settings = self._parts.load_settings()
+                settings = self._adapter.load_settings()
             except SettingsError as error:
                 log_event("settings_refused", cause=str(error))
                 continue
