--- a/packages/router/fulmarward_router/daemon.py
+++ b/packages/router/fulmarward_router/daemon.py
@@ -245,7 +245,7 @@
             boot=self.own.boot,
             is_wanted=self._wants_lease,
             is_store_out=self.knowledge.is_store_out,
-            is_gone=self.members.has_ended,
+            has_ended=self.members.has_ended,
             read_clock=clock,
         )
         self.placer = Placer(
@@ -254,8 +254,8 @@
             configuration=self.configuration,
             catalogue=self.catalogue,
             suspicions=self.suspicions,
-            ask=lambda targets: self.failure_detector.probe(targets),
-            count_choosers=self.listing.count_listed,
+            probe_targets=lambda targets: self.failure_detector.probe(targets),
+            count_routing_instances=self.listing.count_listed,
             read_clock=clock,
         )
         self.front = self._make_front(
--- a/packages/router/fulmarward_router/placement/_lease.py
+++ b/packages/router/fulmarward_router/placement/_lease.py
@@ -65,7 +65,7 @@
         boot: int,
         is_wanted: Callable[[], bool],
         is_store_out: Callable[[], bool],
-        is_gone: Callable[[str, int], bool],
+        has_ended: Callable[[str, int], bool],
         read_clock: Callable[[], float],
     ) -> None:
         self._store = store
@@ -74,7 +74,7 @@
         #: Returns whether the store is unreachable from every instance.
         self._is_store_out = is_store_out
         #: Returns whether the process of an instance with that boot number has ended.
-        self._is_gone = is_gone
+        self._has_ended = has_ended
         #: Whether orders are sent under a lease that expired during a store outage.
         self._is_held_over = False
         self._read_clock = read_clock
@@ -126,7 +126,7 @@
             token=token,
             wanted=wanted,
             now=now,
-            is_holder_gone=self._is_gone(lease.holder, lease.boot),
+            is_holder_gone=self._has_ended(lease.holder, lease.boot),
         )
         if step.kind is StepKind.WAIT:
             return await self._wait(step.until - now)
--- a/packages/router/fulmarward_router/placement/_placer.py
+++ b/packages/router/fulmarward_router/placement/_placer.py
@@ -103,8 +103,8 @@
         configuration: ConfigurationHolder,
         catalogue: TargetCatalogue,
         suspicions: SuspicionTable,
-        ask: Callable[[Iterable[str]], None],
-        count_choosers: Callable[[], int],
+        probe_targets: Callable[[Iterable[str]], None],
+        count_routing_instances: Callable[[], int],
         read_clock: Callable[[], float],
     ) -> None:
         self._dialect = dialect
@@ -113,9 +113,9 @@
         self._catalogue = catalogue
         self._suspicions = suspicions
         #: Starts probes that determine which of the given targets are unreachable.
-        self._ask = ask
+        self._probe_targets = probe_targets
         #: Returns the number of instances that choose paths.
-        self._count_choosers = count_choosers
+        self._count_routing_instances = count_routing_instances
         self._read_clock = read_clock
         self._pending: dict[str, _PendingOrder] = {}
         self._first_seen: dict[str, float] = {}
@@ -194,7 +194,7 @@
         self._drop_pending(targets, now)
         if not targets or not self._lease.is_held():
             return
-        instances = self._count_choosers()
+        instances = self._count_routing_instances()
         pending = {name: item.layers for name, item in self._pending.items()}
         held = _list_layer_holders(targets, pending)
         self._verify_reported_losses(service, engine, present, held, now)
@@ -278,7 +278,7 @@
             if missing != find_gaps(engine.layers, [item.layers for item in local]):
                 to_probe += reported
         if to_probe:
-            self._ask(to_probe)
+            self._probe_targets(to_probe)
 
     def _note_missing(
         self, key: tuple[str, str], gaps: Sequence[LayerRange], now: float
--- a/packages/router/fulmarward_router/placement/tests/test_placer.py
+++ b/packages/router/fulmarward_router/placement/tests/test_placer.py
@@ -144,8 +144,8 @@
             configuration=_Holder(_Configuration({"pool": pool})),
             catalogue=catalogue,
             suspicions=self.table,
-            ask=self.failure_detector.probe,
-            count_choosers=lambda: 4,
+            probe_targets=self.failure_detector.probe,
+            count_routing_instances=lambda: 4,
             read_clock=read_clock,
         )
 
