--- a/packages/instance/fulmarward/placement/__init__.py
+++ b/packages/instance/fulmarward/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: one instance a pool orders its engines what to hold."""
+"""Placement: the lease holder of a pool orders what its engines load."""
 
 from fulmarward.placement._asking import answer_in_flight, answer_outcomes
 from fulmarward.placement._outcomes import count_attempt, count_chain
--- a/packages/instance/fulmarward/placement/_asking.py
+++ b/packages/instance/fulmarward/placement/_asking.py
@@ -1,4 +1,4 @@
-"""Questions of a holder to peers, and the answers to them."""
+"""Peer calls of the lease holder: attempt outcomes and requests in flight."""
 
 import asyncio
 
@@ -14,21 +14,22 @@
 from fulmarward_core.membership import Member, MemberState
 from fulmarward_core.placement import Outcomes, list_outcomes
 
-#: Peers asked for outcomes. Load: 330 instances; harm: bytes of the 4 KB/s, for each
-#: look during a rollout; reason: 24 drawn at random tell the rates well enough.
-MOST_PEERS = 24
+#: Peers asked for outcomes. Asking all of 330 instances at each check of a rollout
+#: would use up the budget of 4 KB/s; 24 drawn at random estimate the failure rates
+#: well enough.
+MAX_SAMPLED_PEERS = 24
 
-#: Peers asked at once. Load: 330 instances, asked whether a drained target is idle;
-#: harm: as many new connections in one moment; reason: ten rounds of some tens of
-#: milliseconds.
-AT_ONCE = 32
+#: Peers asked concurrently. Asking 330 instances at once whether a drained target is
+#: idle would open as many connections in one moment; in batches of 32 it takes ten
+#: rounds of some tens of milliseconds.
+MAX_CONCURRENT_CALLS = 32
 
-#: Seconds that a peer has to answer.
-ANSWER_S = 1.0
+#: Seconds to wait for a peer's answer.
+ANSWER_TIMEOUT_S = 1.0
 
 
 def _list_peers(instance: Instance) -> list[Member]:
-    """Return the other instances that may have work on a target."""
+    """Return the other instances that may have requests on a target."""
     return [
         member
         for member in instance.members.members.values()
@@ -36,13 +37,13 @@
     ]
 
 
-async def _ask(
+async def _call_peer(
     instance: Instance, links: PeerLinks, peer: Member, message: object
 ) -> object | None:
-    """Return a peer's answer; a link that was made for the question is closed."""
+    """Return a peer's answer, or `None`; closes a link opened only for this call."""
     had_link = links.has_link(peer.peer_address)
     try:
-        return await links.call(peer.peer_address, message, ANSWER_S)
+        return await links.call(peer.peer_address, message, ANSWER_TIMEOUT_S)
     except PeerLost:
         return None
     finally:
@@ -53,27 +54,27 @@
 async def answer_outcomes(
     instance: Instance, peer: Member, message: AskOutcomes
 ) -> OutcomeCounts:
-    """Tell a peer what became of attempts here."""
+    """Answer a peer with the outcome counts of this instance."""
     now = instance.read_clock()
-    found = list_outcomes(instance.outcomes, message.model, now=now)
-    return OutcomeCounts(outcomes=found)
+    counts = list_outcomes(instance.outcomes, message.model, now=now)
+    return OutcomeCounts(outcomes=counts)
 
 
 async def gather_outcomes(
     instance: Instance, links: PeerLinks, model: str
 ) -> list[Outcomes]:
-    """Return the counts of this instance and of peers drawn at random."""
+    """Return the outcome counts of this instance and of randomly drawn peers."""
     peers = _list_peers(instance)
-    drawn = instance.generator.sample(peers, min(MOST_PEERS, len(peers)))
-    asked = AskOutcomes(model=model)
+    sampled = instance.generator.sample(peers, min(MAX_SAMPLED_PEERS, len(peers)))
+    query = AskOutcomes(model=model)
     answers = await asyncio.gather(
-        *(_ask(instance, links, peer, asked) for peer in drawn)
+        *(_call_peer(instance, links, peer, query) for peer in sampled)
     )
     own = list_outcomes(instance.outcomes, model, now=instance.read_clock())
-    told = [
+    from_peers = [
         item for answer in answers if answer is not None for item in answer.outcomes
     ]
-    return [*own, *told]
+    return [*own, *from_peers]
 
 
 def _count_own(instance: Instance, target: str) -> int:
@@ -84,25 +85,25 @@
 async def answer_in_flight(
     instance: Instance, peer: Member, message: AskInFlight
 ) -> InFlight:
-    """Tell a peer how many requests this instance has on a target."""
+    """Answer a peer with the number of requests this instance has on a target."""
     return InFlight(count=_count_own(instance, message.target))
 
 
 async def count_in_flight(instance: Instance, links: PeerLinks, target: str) -> int:
     """Return how many requests all instances have on a target.
 
-    Guards against weights that are loaded under a request: an engine's report counts
-    neither the steps of a chain between two tokens nor what is on its way. One that
-    does not answer counts as having a request until it is held dead.
+    Prevents weights from being replaced under a running request: an engine's report
+    counts neither a chain that is between two tokens nor requests on their way to it.
+    A peer that does not answer counts as one request until it is considered dead.
     """
-    asked = AskInFlight(target=target)
+    query = AskInFlight(target=target)
     peers = _list_peers(instance)
     total = _count_own(instance, target)
-    for first in range(0, len(peers), AT_ONCE):
+    for first in range(0, len(peers), MAX_CONCURRENT_CALLS):
         answers = await asyncio.gather(
             *(
-                _ask(instance, links, peer, asked)
-                for peer in peers[first : first + AT_ONCE]
+                _call_peer(instance, links, peer, query)
+                for peer in peers[first : first + MAX_CONCURRENT_CALLS]
             )
         )
         total += sum(1 if answer is None else answer.count for answer in answers)
--- a/packages/instance/fulmarward/placement/_lease.py
+++ b/packages/instance/fulmarward/placement/_lease.py
@@ -1,4 +1,4 @@
-"""The task that takes and keeps the lease of a pool."""
+"""The task that acquires and renews the lease of a pool."""
 
 import asyncio
 from dataclasses import asdict, dataclass
@@ -39,31 +39,31 @@
 #: The table with a row for each pool's lease.
 LEASE_TABLE = "leases"
 
-#: Instances that would hold a pool's lease. Load: 330 instances and 4 pools; harm:
-#: reads of the table by all of them; reason: five rarely all die within one term.
-CANDIDATES = 5
+#: Instances that compete for a pool's lease. With 330 instances and 4 pools, reads of
+#: the table by all of them would be too many; five rarely all die within one term.
+CANDIDATE_COUNT = 5
 
-#: Seconds between two looks at what is known here anyway.
-LOOK_S = 0.5
+#: Seconds between two checks of local state that need no call to the platform.
+CHECK_INTERVAL_S = 0.5
 
-#: Seconds before the platform is tried again after it was out.
-OUT_S = 1.0
+#: Mean delay in seconds before a retry when the platform is unavailable.
+RETRY_DELAY_S = 1.0
 
 
 @dataclass(kw_only=True)
 class LeaseKeeper:
-    """One pool's lease as this instance knows it."""
+    """This instance's knowledge of one pool's lease."""
 
     #: Name of the pool.
     pool: str
-    #: How long leases last.
+    #: Duration of the lease.
     terms: LeaseTerms
-    #: Where this instance stands.
+    #: This instance's state in the lease protocol.
     state: LeaseState
 
 
 def make_keeper(instance: Instance, pool: str) -> LeaseKeeper:
-    """Return a keeper that has not looked yet."""
+    """Return a keeper that has not read the lease yet."""
     own = instance.member
     return LeaseKeeper(
         pool=pool,
@@ -73,12 +73,12 @@
 
 
 def is_holder(instance: Instance, keeper: LeaseKeeper) -> bool:
-    """Return whether orders may be sent now; ask right before each."""
+    """Return whether orders may be sent now; call it right before each order."""
     return may_order(keeper.state, now=instance.read_clock())
 
 
-def _is_wanted(instance: Instance, keeper: LeaseKeeper) -> bool:
-    """Return whether this instance shall hold the lease, or keep it."""
+def _should_hold(instance: Instance, keeper: LeaseKeeper) -> bool:
+    """Return whether this instance should acquire the lease or keep it."""
     is_serving = instance.lifecycle.state == "serving"
     if not is_serving or instance.member.state is MemberState.LEAVING:
         return False
@@ -89,7 +89,9 @@
         for member in instance.members.members.values()
         if member.state is MemberState.ALIVE
     ]
-    return instance.member.name in choose_candidates(alive, keeper.pool, CANDIDATES)
+    return instance.member.name in choose_candidates(
+        alive, keeper.pool, CANDIDATE_COUNT
+    )
 
 
 def _read_lease(row: Row) -> LeaseRead:
@@ -117,24 +119,24 @@
     return StoreOut() if isinstance(outcome, PlatformOut) else ReplyLost()
 
 
-def _take(instance: Instance, keeper: LeaseKeeper, event: LeaseEvent) -> None:
+def _apply_event(instance: Instance, keeper: LeaseKeeper, event: LeaseEvent) -> None:
     before = keeper.state
     now = instance.read_clock()
     keeper.state = take_event(before, keeper.terms, event, now=now)
-    is_new = keeper.state.phase is Phase.HOLDING and (
+    is_acquired = keeper.state.phase is Phase.HOLDING and (
         before.phase is Phase.WATCHING or before.fencing != keeper.state.fencing
     )
-    if is_new:
+    if is_acquired:
         fencing = keeper.state.fencing
         log_event("lease_taken", pool=keeper.pool, fencing=fencing)
 
 
 async def step_lease(instance: Instance, keeper: LeaseKeeper) -> float:
-    """Do what comes next about the lease; return the seconds until the next look."""
+    """Perform the next step of the lease protocol; return the delay in seconds."""
     now = instance.read_clock()
-    wanted = _is_wanted(instance, keeper)
+    wanted = _should_hold(instance, keeper)
     if not wanted and not is_holder(instance, keeper):
-        return LOOK_S
+        return CHECK_INTERVAL_S
     token = f"{instance.member.boot:x}-{instance.generator.getrandbits(64):x}"
     step = choose_step(keeper.state, keeper.terms, token=token, wanted=wanted, now=now)
     if step.kind is StepKind.WAIT:
@@ -144,25 +146,27 @@
         if step.kind is StepKind.READ
         else await _write(instance, keeper, step)
     )
-    _take(instance, keeper, event)
-    is_out = isinstance(event, StoreOut | ReplyLost)
-    return OUT_S * instance.generator.uniform(0.5, 1.5) if is_out else 0.0
+    _apply_event(instance, keeper, event)
+    is_unavailable = isinstance(event, StoreOut | ReplyLost)
+    return (
+        RETRY_DELAY_S * instance.generator.uniform(0.5, 1.5) if is_unavailable else 0.0
+    )
 
 
 async def _wait(instance: Instance, keeper: LeaseKeeper, seconds: float) -> float:
-    """Wait for a step's time; one who watches reads the row in between.
+    """Wait until the next step is due; an instance without the lease reads the row.
 
-    Without that it would only learn of a renewal by a write that is refused.
+    Without that read it would learn of a renewal only from a refused write.
     """
     if keeper.state.phase is Phase.HOLDING:
-        return min(max(seconds, 0.0), LOOK_S)
-    between = keeper.terms.term_s / 2 * instance.generator.uniform(0.8, 1.0)
-    await asyncio.sleep(min(max(seconds, 0.0), between))
-    _take(instance, keeper, await _read(instance, keeper))
+        return min(max(seconds, 0.0), CHECK_INTERVAL_S)
+    read_delay = keeper.terms.term_s / 2 * instance.generator.uniform(0.8, 1.0)
+    await asyncio.sleep(min(max(seconds, 0.0), read_delay))
+    _apply_event(instance, keeper, await _read(instance, keeper))
     return 0.0
 
 
 async def keep_lease(instance: Instance, keeper: LeaseKeeper) -> None:
-    """Take the lease when it is free and this instance shall, and renew it."""
+    """Acquire the lease when it is free and this is a candidate, and renew it."""
     while True:
         await asyncio.sleep(await step_lease(instance, keeper))
--- a/packages/instance/fulmarward/placement/_outcomes.py
+++ b/packages/instance/fulmarward/placement/_outcomes.py
@@ -1,11 +1,11 @@
-"""Counting what became of attempts, by the version that their target held."""
+"""Counts outcomes of attempts by the model version that the target had loaded."""
 
 from fulmarward._instance import Instance
 from fulmarward_core.placement import count_outcome
 from fulmarward_core.results import Failure, ResultCode
 from fulmarward_core.routing import TargetView
 
-#: Failures that speak against a target and not against the request or the load.
+#: Failures caused by the target, not by the request or by overload.
 _TARGET_FAULTS = frozenset(
     {
         ResultCode.TARGET_FAILED,
@@ -31,7 +31,7 @@
 def count_attempt(
     instance: Instance, view: TargetView, failure: Failure | None
 ) -> None:
-    """Count an attempt that ended, by the version that its target held."""
+    """Count a finished attempt under the version that its target had loaded."""
     if view.held is not None:
         state = view.held.state
         _count(instance, state.model, state.version, failure)
@@ -40,5 +40,5 @@
 def count_chain(
     instance: Instance, model: str, version: str, failure: Failure | None
 ) -> None:
-    """Count an attempt on a chain, whose stages all hold one version."""
+    """Count an attempt on a chain, whose stages all have the same version loaded."""
     _count(instance, model, version, failure)
--- a/packages/instance/fulmarward/placement/_pool.py
+++ b/packages/instance/fulmarward/placement/_pool.py
@@ -1,4 +1,4 @@
-"""The work of a pool's holder: look at its engines, decide, send orders."""
+"""The control loop of a pool's lease holder: poll engines, plan, send orders."""
 
 import asyncio
 import logging
@@ -44,31 +44,34 @@
     plan_actions,
 )
 
-#: Seconds between two looks at a pool.
-LOOK_S = 0.25
+#: Seconds between two iterations of a pool's control loop.
+LOOP_INTERVAL_S = 0.25
 
-#: Seconds after a drain in which instances hear of it and what they had sent arrives.
-#: Load: 330 instances, 9 hops; harm: a request meets an engine that loads; reason: a
-#: hop takes some tens of milliseconds, and an engine's report lags.
+#: Seconds after the start of a drain for which an engine is not taken as idle. The
+#: drain has to reach 330 instances over 9 gossip hops of some tens of milliseconds
+#: each, requests already sent have to arrive, and an engine's load report lags. With
+#: less time a request can reach an engine that is loading.
 DRAIN_SETTLE_S = 1.5
 
-#: Bytes a second for looking at engines besides what is reported of followed ones.
-LOOK_BYTES_PER_S = 800.0
+#: Bytes a second for polling engines, beside the reports of followed targets.
+POLL_BYTES_PER_S = 800.0
 
-#: Seconds for which a look at an engine is fresh. Harm: bytes for what cannot have
-#: changed; reason: a late order is found as soon in a small pool.
+#: Seconds for which an engine is not polled again. Polling more often costs bytes for
+#: state that rarely changes; in a small pool the effect of a late order is still found
+#: within this time.
 FRESH_S = 1.0
 
-#: Seconds after which what an engine said is old and it counts as not answering.
-#: Load: 1,025 engines looked at with LOOK_BYTES_PER_S; reason: one round of them.
-BELIEVE_S = 900.0
+#: Age in seconds at which an observation expires and the engine counts as not
+#: answering: one round over 1,025 engines polled at POLL_BYTES_PER_S.
+OBSERVATION_TTL_S = 900.0
 
-#: Looks between two checks of outcomes. Harm: bytes of peers; reason: two seconds.
-OUTCOMES_EVERY = 8
+#: Iterations between two checks of outcomes, about two seconds. Each check costs
+#: traffic between peers.
+OUTCOME_CHECK_ITERATIONS = 8
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Look:
+class _Observation:
     held: Held
     load: int
     at: float
@@ -76,39 +79,39 @@
 
 @dataclass(kw_only=True)
 class PoolPlacement:
-    """What a holder remembers of its pool; forgotten with each new holding."""
+    """State of a pool's control loop, reset each time the lease is acquired."""
 
     #: The pool's lease.
     keeper: LeaseKeeper
-    #: The fencing number of the holding that all below belongs to.
+    #: The fencing number of the lease term that the fields below belong to.
     fencing: int = 0
-    #: From when orders may be sent.
+    #: Earliest time at which orders may be sent.
     orders_from: float = float("inf")
-    #: Where the rollout of the declared version stands.
+    #: Progress of the rollout of the declared version.
     rollout: Rollout | None = None
-    #: The last look at each engine.
-    looks: dict[str, _Look] = field(default_factory=dict)
-    #: Engines that have obeyed an order of this holding.
+    #: The last observation of each engine.
+    observations: dict[str, _Observation] = field(default_factory=dict)
+    #: Engines that have applied an order sent under this fencing number.
     asserted: set[str] = field(default_factory=set)
-    #: Orders under way by target.
+    #: Orders in flight by target.
     orders: dict[str, asyncio.Task] = field(default_factory=dict)
-    #: Since when each draining engine has been so.
+    #: Start of the drain of each draining engine.
     drained_at: dict[str, float] = field(default_factory=dict)
     #: The status last written.
     status: PoolStatus | None = None
-    #: Looks so far.
-    turns: int = 0
-    #: Shares out LOOK_BYTES_PER_S.
-    pacer: Pacer = field(default_factory=lambda: Pacer(bytes_per_s=LOOK_BYTES_PER_S))
+    #: Iterations so far.
+    iterations: int = 0
+    #: Limits polling to POLL_BYTES_PER_S.
+    pacer: Pacer = field(default_factory=lambda: Pacer(bytes_per_s=POLL_BYTES_PER_S))
 
 
-def _begin_holding(instance: Instance, placement: PoolPlacement) -> None:
-    """Forget the last holding, and wait out orders of the last holder if need be.
+def _start_term(instance: Instance, placement: PoolPlacement) -> None:
+    """Reset the state, and delay orders until those of the last holder have expired.
 
-    Guards against a late order of a paused predecessor. An engine that checks fencing
-    numbers refuses it as soon as it has obeyed this holder. One that ignores them
-    obeys it: so nothing is asserted before the longest flight is over, and what the
-    engine holds is looked at again and again after that.
+    A paused predecessor may have an order still in flight. An engine that checks
+    fencing numbers refuses it once it has applied an order of this holder. An engine
+    that ignores them applies it, so no order is sent before the longest flight time
+    (`order_ms`) is over, and the engine's state is polled continuously after that.
     """
     limits = instance.settings.limits
     targets = instance.snapshot.declaration.targets
@@ -120,94 +123,94 @@
     placement.fencing = placement.keeper.state.fencing
     placement.orders_from = instance.read_clock() + flight_s
     placement.rollout = None
-    placement.looks = {}
+    placement.observations = {}
     placement.asserted = set()
     placement.drained_at = {}
     placement.status = None
     log_event("placement_begun", pool=pool, fencing=placement.fencing, wait_s=flight_s)
 
 
-async def _look(
+async def _poll(
     instance: Instance, placement: PoolPlacement, name: str, target: Target
 ) -> None:
     now = instance.read_clock()
     report = await read_load(instance.session, target.address, now=now)
     if isinstance(report, StreamBroken):
-        placement.looks.pop(name, None)
+        placement.observations.pop(name, None)
         return
     load = report.load.running + report.load.waiting
-    placement.looks[name] = _Look(held=report.held, load=load, at=now)
+    placement.observations[name] = _Observation(held=report.held, load=load, at=now)
 
 
-async def _look_closely(
+async def _poll_draining(
     instance: Instance,
     links: PeerLinks,
     placement: PoolPlacement,
     name: str,
     target: Target,
 ) -> None:
-    """Look at an engine that is being drained, and at what instances have on it."""
-    await _look(instance, placement, name, target)
-    look = placement.looks.get(name)
-    settled_from = placement.drained_at[name] + DRAIN_SETTLE_S
-    if look is None or look.load > 0:
+    """Poll a draining engine and count the requests that instances have on it."""
+    await _poll(instance, placement, name, target)
+    observation = placement.observations.get(name)
+    settled_at = placement.drained_at[name] + DRAIN_SETTLE_S
+    if observation is None or observation.load > 0:
         return
-    if look.at < settled_from:
-        # Too early to believe that it is idle.
-        placement.looks[name] = replace(look, load=1)
+    if observation.at < settled_at:
+        # Requests may still be arriving, so the engine does not count as idle yet.
+        placement.observations[name] = replace(observation, load=1)
         return
     in_flight = await count_in_flight(instance, links, name)
-    placement.looks[name] = replace(look, load=in_flight)
+    placement.observations[name] = replace(observation, load=in_flight)
 
 
-async def _look_at_engines(
+async def _poll_engines(
     instance: Instance,
     links: PeerLinks,
     placement: PoolPlacement,
     targets: dict[str, Target],
 ) -> None:
-    """Look closely at engines that are being changed, and now and then at the rest.
+    """Poll all draining engines, and the stalest other engine within the byte budget.
 
-    What the followed engines report is taken from the views and costs nothing.
+    Reports of followed engines are taken from the views, which sends nothing.
     """
     now = instance.read_clock()
     for name in targets:
         view = instance.views.get(name)
-        known = placement.looks.get(name)
+        last_observation = placement.observations.get(name)
         if view is None or view.held is None:
             continue
-        if known is None or known.at < view.report.received_at:
+        if last_observation is None or last_observation.at < view.report.received_at:
             load = view.report.running + view.report.waiting
-            placement.looks[name] = _Look(
+            placement.observations[name] = _Observation(
                 held=view.held, load=load, at=view.report.received_at
             )
-    looks = [
-        _look_closely(instance, links, placement, name, targets[name])
+    polls = [
+        _poll_draining(instance, links, placement, name, targets[name])
         for name in targets
         if name in placement.drained_at and name not in placement.orders
     ]
     name = _find_stale(placement, targets, now)
     if name and placement.pacer.free_from <= now:
         reserve(placement.pacer, REPORT_BYTES, now=now)
-        looks.append(_look(instance, placement, name, targets[name]))
-    await asyncio.gather(*looks)
+        polls.append(_poll(instance, placement, name, targets[name]))
+    await asyncio.gather(*polls)
 
 
 def _find_stale(placement: PoolPlacement, names: Iterable[str], now: float) -> str:
-    """Return the engine that was looked at longest ago; empty when all are fresh."""
+    """Return the engine polled longest ago, or "" when all are fresh."""
     stale = [
         name
         for name in names
         if name not in placement.drained_at
         and name not in placement.orders
-        and now - _get_look_time(placement, name) >= FRESH_S
+        and now - _get_observed_at(placement, name) >= FRESH_S
     ]
-    return min(stale, key=lambda name: _get_look_time(placement, name), default="")
+    return min(stale, key=lambda name: _get_observed_at(placement, name), default="")
 
 
-def _get_look_time(placement: PoolPlacement, name: str) -> float:
-    look = placement.looks.get(name)
-    return look.at if look else float("-inf")
+def _get_observed_at(placement: PoolPlacement, name: str) -> float:
+    observation = placement.observations.get(name)
+    return observation.at if observation else float("-inf")
 
 
 def _list_engines(
@@ -223,14 +226,16 @@
         else:
             placement.drained_at.pop(name, None)
         drained_at = placement.drained_at.get(name, now)
-        look = placement.looks.get(name)
-        is_known = look is not None and now - look.at < BELIEVE_S
+        observation = placement.observations.get(name)
+        is_current = (
+            observation is not None and now - observation.at < OBSERVATION_TTL_S
+        )
         engines.append(
             EngineState(
                 name=name,
                 wanted=state,
-                held=look.held if is_known else None,
-                load=look.load if is_known else 0,
+                held=observation.held if is_current else None,
+                load=observation.load if is_current else 0,
                 is_leaving=any(item is not LeavingSource.PLACEMENT for item in sources),
                 is_draining=is_draining,
                 is_drain_settled=is_draining and now - drained_at >= DRAIN_SETTLE_S,
@@ -241,21 +246,21 @@
     return engines
 
 
-async def _send(
+async def _send_order(
     instance: Instance,
     placement: PoolPlacement,
     target: Target,
     wanted: Wanted,
     action: Action,
 ) -> None:
-    """Send one order, if this instance still holds the lease right before."""
+    """Send one order unless the lease has lapsed or its fencing number changed."""
     keeper = placement.keeper
     fencing = placement.fencing
-    members = {"pool": keeper.pool, "target": action.target, "fencing": fencing}
+    log_fields = {"pool": keeper.pool, "target": action.target, "fencing": fencing}
     if not is_holder(instance, keeper) or keeper.state.fencing != fencing:
-        log_event("order_dropped", reason="lease_lapsed", **members)
+        log_event("order_dropped", reason="lease_lapsed", **log_fields)
         return
-    log_event("order", reason=action.reason, version=wanted.version, **members)
+    log_event("order", reason=action.reason, version=wanted.version, **log_fields)
     outcome = await send_order(
         instance.session,
         target.address,
@@ -265,14 +270,16 @@
     )
     now = instance.read_clock()
     if isinstance(outcome, OrderTaken):
-        placement.looks[action.target] = _Look(held=outcome.held, load=0, at=now)
+        placement.observations[action.target] = _Observation(
+            held=outcome.held, load=0, at=now
+        )
         placement.asserted.add(action.target)
         if action.reason in ("drained", "empty") and placement.rollout is not None:
             placement.rollout = replace(placement.rollout, changed_at=now)
         return
     detail = outcome.detail
-    log_event("order_failed", level=logging.WARNING, detail=detail, **members)
-    placement.looks.pop(action.target, None)
+    log_event("order_failed", level=logging.WARNING, detail=detail, **log_fields)
+    placement.observations.pop(action.target, None)
     if isinstance(outcome, OrderRefused) and detail == "old_fencing":
         keeper.state = drop_hold(keeper.state)
 
@@ -284,13 +291,13 @@
     wanted: Wanted,
     action: Action,
 ) -> None:
-    sending = _send(instance, placement, target, wanted, action)
+    sending = _send_order(instance, placement, target, wanted, action)
     task = asyncio.create_task(sending)
     placement.orders[action.target] = task
     task.add_done_callback(lambda _: placement.orders.pop(action.target, None))
 
 
-def _perform(
+def _perform_actions(
     instance: Instance,
     placement: PoolPlacement,
     targets: dict[str, Target],
@@ -313,19 +320,19 @@
         note_placement(instance, action.target, leaving=is_drain)
 
 
-async def _advance(
+async def _advance_rollout(
     instance: Instance,
     links: PeerLinks,
     placement: PoolPlacement,
     model: Model,
     engines: list[EngineState],
 ) -> bool:
-    """Bring the rollout up to date; return whether it may take its next target."""
+    """Advance the rollout; return whether the next target may be updated."""
     pool = placement.keeper.pool
     before = placement.rollout
     is_running = before.phase is RolloutPhase.RUNNING
-    is_turn = is_running and placement.turns % OUTCOMES_EVERY == 0
-    counts = await gather_outcomes(instance, links, pool) if is_turn else []
+    is_check_due = is_running and placement.iterations % OUTCOME_CHECK_ITERATIONS == 0
+    counts = await gather_outcomes(instance, links, pool) if is_check_due else []
     new, old = add_outcomes(counts, model.serving)
     after = advance_rollout(
         before,
@@ -346,7 +353,7 @@
             reason=after.reason,
         )
     soaked = has_soaked(after, engines, new, now=instance.read_clock())
-    return is_turn and after.phase is RolloutPhase.RUNNING and soaked
+    return is_check_due and after.phase is RolloutPhase.RUNNING and soaked
 
 
 async def _get_rollout(
@@ -358,7 +365,7 @@
     return placement.rollout
 
 
-async def _tell_status(
+async def _publish_status(
     instance: Instance, placement: PoolPlacement, engines: list[EngineState]
 ) -> None:
     answering = [engine for engine in engines if engine.held is not None]
@@ -376,23 +383,25 @@
             placement.status = status
 
 
-async def _work(instance: Instance, links: PeerLinks, placement: PoolPlacement) -> None:
-    """Do one look's work, all of it by the declaration that is in force now."""
+async def _run_iteration(
+    instance: Instance, links: PeerLinks, placement: PoolPlacement
+) -> None:
+    """Run one iteration, using one declaration throughout."""
     keeper = placement.keeper
     declaration = instance.snapshot.declaration
     model = declaration.models.get(keeper.pool)
     if model is None:
         return
     if placement.fencing != keeper.state.fencing:
-        _begin_holding(instance, placement)
+        _start_term(instance, placement)
     wanted = list_wanted(declaration, keeper.pool)
     targets = {name: declaration.targets[name] for name in wanted}
-    await _look_at_engines(instance, links, placement, targets)
+    await _poll_engines(instance, links, placement, targets)
     engines = _list_engines(instance, placement, wanted)
     rollout = await _get_rollout(instance, placement, model.serving)
     if rollout is None or instance.read_clock() < placement.orders_from:
         return
-    may_take_next = await _advance(instance, links, placement, model, engines)
+    may_take_next = await _advance_rollout(instance, links, placement, model, engines)
     actions = plan_actions(
         engines,
         layers=model.layers,
@@ -400,21 +409,21 @@
         rollout=placement.rollout,
         may_take_next=may_take_next,
     )
-    placement.turns += 1
-    _perform(instance, placement, targets, wanted, actions)
-    await _tell_status(instance, placement, engines)
+    placement.iterations += 1
+    _perform_actions(instance, placement, targets, wanted, actions)
+    await _publish_status(instance, placement, engines)
 
 
 async def run_pool(
     instance: Instance, links: PeerLinks, placement: PoolPlacement
 ) -> None:
-    """Do a holder's work while this instance holds the lease; else stand still."""
+    """Run the control loop while this instance holds the lease."""
     was_holder = False
     while True:
         is_holding = is_holder(instance, placement.keeper)
         if is_holding:
-            await _work(instance, links, placement)
+            await _run_iteration(instance, links, placement)
         elif was_holder:
             log_event("placement_rests", pool=placement.keeper.pool)
         was_holder = is_holding
-        await asyncio.sleep(LOOK_S * instance.generator.uniform(0.8, 1.2))
+        await asyncio.sleep(LOOP_INTERVAL_S * instance.generator.uniform(0.8, 1.2))
--- a/packages/instance/fulmarward/placement/_run.py
+++ b/packages/instance/fulmarward/placement/_run.py
@@ -1,4 +1,4 @@
-"""The duty of placement: two tasks for each pool that is declared."""
+"""Runs two tasks for each declared pool: the lease and the control loop."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def _list_pools(declaration: Declaration) -> set[str]:
-    """Return the models that engines serve."""
+    """Return the models that are served by engines."""
     return {
         target.serves
         for target in declaration.targets.values()
@@ -18,7 +18,7 @@
     }
 
 
-async def _place(instance: Instance, links: PeerLinks, pool: str) -> None:
+async def _run_pool_tasks(instance: Instance, links: PeerLinks, pool: str) -> None:
     keeper = make_keeper(instance, pool)
     placement = PoolPlacement(keeper=keeper)
     async with asyncio.TaskGroup() as group:
@@ -27,7 +27,7 @@
 
 
 async def run_placement(instance: Instance, links: PeerLinks) -> None:
-    """Keep the tasks of each pool; a pool that is declared no more ends its tasks."""
+    """Start the tasks of each declared pool, and cancel those of removed pools."""
     async with asyncio.TaskGroup() as group:
         tasks: dict[str, asyncio.Task] = {}
         while True:
@@ -36,5 +36,5 @@
             for pool in tasks.keys() - pools:
                 tasks.pop(pool).cancel()
             for pool in pools - tasks.keys():
-                tasks[pool] = group.create_task(_place(instance, links, pool))
+                tasks[pool] = group.create_task(_run_pool_tasks(instance, links, pool))
             await changed.wait()
--- a/packages/instance/fulmarward/placement/_status.py
+++ b/packages/instance/fulmarward/placement/_status.py
@@ -1,4 +1,4 @@
-"""What operators see of placement: a row for each pool, written by its holder."""
+"""Placement status for operators: a row for each pool, written by its holder."""
 
 from dataclasses import dataclass
 
@@ -20,44 +20,44 @@
 #: The table with a row for each pool.
 STATUS_TABLE = "placement"
 
-#: When an operator may try again, in milliseconds.
+#: Milliseconds after which an operator may retry.
 RETRY_AFTER_MS = 2_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class PoolStatus:
-    """Where a pool stands."""
+    """Status of a pool as it is written to the platform's table."""
 
-    #: The version wanted, where its rollout stands, and why it stopped.
+    #: The wanted version, the phase of its rollout, and why the rollout stopped.
     version: str
     phase: str
     reason: str
-    #: Engines declared, those that answer, and those that hold what they shall.
+    #: Number of engines declared, answering, and in the wanted state.
     declared: int
     answering: int
     as_wanted: int
-    #: Engines that take no new work because placement changes them.
+    #: Engines that get no new work because placement is changing them.
     draining: tuple[str, ...]
 
 
 async def read_rollout(
     instance: Instance, pool: str, version: str
 ) -> Rollout | PlatformOut:
-    """Return where an earlier holder left the rollout of a version.
+    """Return the rollout of a version as an earlier holder recorded it.
 
-    A rollout that was stopped stays so under every later holder.
+    A stopped rollout stays stopped under every later holder.
     """
     row = await read_row(instance.platform, STATUS_TABLE, pool)
     if isinstance(row, PlatformOut):
         return row
     now = instance.read_clock()
-    found = row.value or {}
-    if found.get("version") == version and found.get("phase") == "stopped":
+    stored = row.value or {}
+    if stored.get("version") == version and stored.get("phase") == "stopped":
         return Rollout(
             version=version,
             phase=RolloutPhase.STOPPED,
             changed_at=now,
-            reason=found["reason"],
+            reason=stored["reason"],
         )
     return Rollout(version=version, phase=RolloutPhase.RUNNING, changed_at=now)
 
@@ -65,7 +65,7 @@
 async def write_status(
     instance: Instance, keeper: LeaseKeeper, status: PoolStatus
 ) -> bool:
-    """Write a pool's row, if this instance holds the lease as the table has it."""
+    """Write a pool's row if the lease row still has the version known here."""
     state = keeper.state
     value = {
         "holder": state.own_name,
@@ -88,7 +88,7 @@
 
 
 async def read_placement(instance: Instance) -> list[dict[str, object]] | Failure:
-    """Return the rows of all pools that are declared."""
+    """Return the status rows of all declared pools."""
     rows = await list_rows(instance.platform, STATUS_TABLE)
     if isinstance(rows, PlatformOut):
         return make_failure(
--- a/packages/instance/fulmarward/placement/tests/test_placement.py
+++ b/packages/instance/fulmarward/placement/tests/test_placement.py
@@ -15,7 +15,7 @@
 
 _BODY = {"model": "lookup", "prompt": "sunrise [2 tokens]"}
 
-#: Leases short enough for a test; the decisions take any term.
+#: Short leases, so that takeovers happen within a test.
 _LIMITS = {"lease_ms": 1_500, "order_ms": 500}
 
 
@@ -45,7 +45,7 @@
     return next((p for p in reply.body["pools"] if p["pool"] == "sardine"), {})
 
 
-async def _wait_pool(fleet, instance, condition, what):
+async def _wait_for_pool(fleet, instance, condition, what):
     async def holds():
         pool = await _read_pool(fleet, instance)
         return pool if pool and condition(pool) else None
@@ -60,20 +60,22 @@
 
 class PlacementProcessTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_paused_holder_and_its_late_orders_change_nothing(self):
-        # The holder of a pool's lease is paused past it; another instance takes over
-        # and asserts. Then an order of the paused one arrives that was long on its
-        # way: an engine that checks fencing numbers refuses it, one that ignores them
-        # obeys and would serve the wrong model for ever. The paused one wakes up.
+        # The lease holder is paused until its lease lapses, and another instance takes
+        # over and sends its orders. Then a delayed order of the paused holder arrives:
+        # an engine that checks fencing numbers must refuse it; one that ignores them
+        # applies it and must not keep the wrong model. The paused holder then resumes.
         targets = [
             TargetPlan(name="e1"),
             TargetPlan(name="e2", checks_fencing=False),
         ]
         async with start_fleet(_make_plan(targets)) as fleet:
-            first = await _wait_pool(fleet, "i1", _is_settled, "placement to settle")
+            first = await _wait_for_pool(
+                fleet, "i1", _is_settled, "placement to settle"
+            )
             paused = fleet.processes[first["holder"]]
             asked = next(f"i{n}" for n in (1, 2, 3) if f"i{n}" != first["holder"])
             paused.send(signal.SIGSTOP)
-            second = await _wait_pool(
+            second = await _wait_for_pool(
                 fleet,
                 asked,
                 lambda pool: pool["fencing"] > first["fencing"] and _is_settled(pool),
@@ -107,14 +109,14 @@
             self.assertGreaterEqual(after, second["fencing"])
 
     async def test_a_rollout_goes_target_by_target_and_cuts_off_nothing(self):
-        # Operators declare a new version while callers work. All engines load it at
-        # once, and until the weights are there the pipeline serves nobody.
+        # A new version is declared under load. Fails if all engines load it at once:
+        # until the weights are loaded the pipeline could not serve any request.
         targets = [
             TargetPlan(name="e1"),
             TargetPlan(name="e2", stand_in={"load_ms": 400.0}),
         ]
         async with start_fleet(_make_plan(targets)) as fleet:
-            await _wait_pool(fleet, "i1", _is_settled, "placement to settle")
+            await _wait_for_pool(fleet, "i1", _is_settled, "placement to settle")
             is_over = asyncio.Event()
             results = []
 
@@ -136,7 +138,7 @@
             declaration["models"]["sardine"]["serving"] = "v2"
             applied = await fleet.apply(declaration)
             self.assertEqual(applied.status, 200, applied)
-            await _wait_pool(
+            await _wait_for_pool(
                 fleet,
                 "i2",
                 lambda pool: pool["version"] == "v2" and _is_settled(pool),
@@ -153,12 +155,14 @@
             self.assertEqual(cut, [])
 
     async def test_placement_stands_still_while_the_store_is_out(self):
-        # The platform is out for longer than the lease. An engine loses what it held
-        # meanwhile. Nobody may order anything, all else is routed as before, and when
-        # the platform is back the engine gets what it shall hold.
+        # The platform is unavailable for longer than the lease term, and an engine
+        # loses its model meanwhile. No instance may send orders, requests are routed
+        # as before, and the engine gets its model back once the platform recovers.
         targets = [TargetPlan(name="e1"), TargetPlan(name="e2")]
         async with start_fleet(_make_plan(targets)) as fleet:
-            settled = await _wait_pool(fleet, "i1", _is_settled, "placement to settle")
+            settled = await _wait_for_pool(
+                fleet, "i1", _is_settled, "placement to settle"
+            )
             await fleet.control_platform(outage=True)
             holder = fleet.processes[settled["holder"]]
 
--- a/packages/instance/fulmarward/placement/tests/test_rollouts.py
+++ b/packages/instance/fulmarward/placement/tests/test_rollouts.py
@@ -6,7 +6,7 @@
     _is_settled,
     _make_plan,
     _read_held,
-    _wait_pool,
+    _wait_for_pool,
 )
 from fulmarward_standins.harness import (
     TargetPlan,
@@ -26,14 +26,14 @@
 
 class RolloutProcessTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_version_that_fails_stops_its_own_rollout(self):
-        # The new version fails every request. Its first target shows it within
-        # seconds, callers are served by the others, and the rollout goes on to the
-        # last target: from then on nobody is served.
+        # The new version fails every request. The rollout must stop at the first
+        # target, while the others serve the callers: if it went on to the last
+        # target, no request could be served.
         targets = [TargetPlan(name=f"e{number}") for number in (1, 2, 3)]
         async with start_fleet(_make_plan(targets)) as fleet:
-            await _wait_pool(fleet, "i1", _is_settled, "placement to settle")
+            await _wait_for_pool(fleet, "i1", _is_settled, "placement to settle")
             await _declare(self, fleet, targets, "sardine")
-            await _wait_pool(
+            await _wait_for_pool(
                 fleet, "i1", lambda pool: pool["draining"] == ["e1"], "e1 to be drained"
             )
             await fleet.control_target("e1", fail_at_token=0)
@@ -46,7 +46,7 @@
 
             names = ("i1", "i2", "i3")
             calls = [asyncio.create_task(make_calls(name)) for name in names]
-            stopped = await _wait_pool(
+            stopped = await _wait_for_pool(
                 fleet, "i2", lambda pool: pool["phase"] == "stopped", "a stop"
             )
             is_over.set()
@@ -57,9 +57,9 @@
             self.assertEqual([r.body for r in results if r.status != 200], [])
 
     async def test_a_chain_runs_to_its_end_before_its_stages_load(self):
-        # A long answer runs on a chain when a new version is declared. Between two
-        # tokens a stage reports that it is idle. It loads the new weights, and the
-        # caller's answer breaks off in the middle.
+        # A new version is declared while a long answer is generated on a chain. A
+        # stage reports itself idle between two tokens; if it loaded the new weights
+        # then, the answer would break off in the middle.
         targets = [
             TargetPlan(
                 name=f"{row}{first}", serves="anchovy", layers=(first, first + 12)
