--- a/packages/instance/fulmarward/health/__init__.py
+++ b/packages/instance/fulmarward/health/__init__.py
@@ -1,4 +1,4 @@
-"""Health of targets: who leaves, drains by operators, and news between peers."""
+"""Target health: leaving targets, operators' drains, and gossip about both."""
 
 from fulmarward.health._drains import change_drain, read_drains, watch_drains
 from fulmarward.health._gossip import (
--- a/packages/instance/fulmarward/health/_drains.py
+++ b/packages/instance/fulmarward/health/_drains.py
@@ -1,7 +1,7 @@
 """Operators' drains: rows in the platform's table, spread between peers.
 
-A row stays when its drain is taken back, so that its version goes on rising and an
-older word can never win over a newer one.
+A row stays when its drain is undone, so that its version keeps rising and an older
+record never replaces a newer one.
 """
 
 import asyncio
@@ -23,17 +23,17 @@
 from fulmarward_core.health import LeavingRecord, LeavingSource
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
-#: The table with a row for each target that was ever drained.
+#: The table with a row for each target that has ever been drained.
 DRAIN_TABLE = "drains"
 
-#: Seconds between two reads of the table. Load: 330 instances; harm: the platform's
-#: two thousand reads a second; reason: 22 a second in all, and peers tell sooner.
-DRAINS_S = 15.0
+#: Seconds between two reads of the table. For 330 instances that is 22 of the two
+#: thousand reads a second that the platform allows; gossip is faster than this.
+POLL_INTERVAL_S = 15.0
 
-#: Times that a write is tried against other operators who write the same row.
-MOST_TRIES = 4
+#: Attempts of a write that conflicts with other operators' writes to the same row.
+MAX_ATTEMPTS = 4
 
-#: When an operator may try again, in milliseconds.
+#: Milliseconds after which an operator may retry.
 RETRY_AFTER_MS = 2_000
 
 
@@ -47,26 +47,26 @@
 
 
 async def read_drains(instance: Instance) -> None:
-    """Take in all drains that stand in the platform's table."""
+    """Merge all drains in the platform's table."""
     rows = await list_rows(instance.platform, DRAIN_TABLE)
     if not isinstance(rows, PlatformOut):
         hear_records(instance, [_make_record(row) for row in rows])
 
 
 async def watch_drains(instance: Instance) -> None:
-    """Read the drains now and then, for what no peer told."""
+    """Poll the drains, for changes that gossip has not delivered."""
     while True:
-        await asyncio.sleep(DRAINS_S * instance.generator.uniform(0.8, 1.2))
+        await asyncio.sleep(POLL_INTERVAL_S * instance.generator.uniform(0.8, 1.2))
         await read_drains(instance)
 
 
 async def change_drain(
     instance: Instance, target: str, *, drained: bool, by: str
 ) -> LeavingRecord | Failure:
-    """Drain a target or take its drain back; the outcome is always the true one."""
+    """Drain a target or undo its drain; success means that the row is written."""
     if target not in instance.snapshot.declaration.targets:
         return make_failure(ResultCode.NOT_FOUND, f"No target {target[:64]!r}.")
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         outcome = await _try_change(instance, target, drained=drained, by=by)
         if isinstance(outcome, LeavingRecord):
             hear_records(instance, [outcome])
@@ -81,10 +81,10 @@
 async def _try_change(
     instance: Instance, target: str, *, drained: bool, by: str
 ) -> LeavingRecord | Failure | None:
-    """Return what came of one try; `None` when the row has to be read again.
+    """Return the outcome of one attempt; `None` when the row has to be read again.
 
-    Guards against a lost reply: the next try reads the row, and when the write did
-    take effect the row is as wanted and nothing is written twice.
+    This covers a lost reply: the next attempt reads the row, and if the write did take
+    effect, the row is as wanted and nothing is written twice.
     """
     row = await read_row(instance.platform, DRAIN_TABLE, target)
     if isinstance(row, PlatformOut):
--- a/packages/instance/fulmarward/health/_gossip.py
+++ b/packages/instance/fulmarward/health/_gossip.py
@@ -1,8 +1,8 @@
-"""News of leaving targets and summaries of pools, between neighbours.
+"""Gossip of leaving targets and pool summaries between neighbours.
 
-News goes to all neighbours at once; in each round one neighbour is asked whether it
-has the same records, which heals what a lost message left out, and gets the summaries
-it lacks.
+New records are pushed to all neighbours at once. In each round the digest of the
+records is compared with one neighbour's, which repairs lost messages, and the
+summaries that either side lacks are exchanged.
 """
 
 import asyncio
@@ -21,22 +21,22 @@
 from fulmarward_core.health import LeavingRecord, compute_leaving_digest
 from fulmarward_core.membership import Member, select_neighbours
 
-#: Seconds between two rounds. Load: 330 instances with 9 neighbours each; harm: bytes
-#: of the 4 KB/s; reason: news does not wait for a round.
-ROUND_S = 3.0
+#: Seconds between two rounds. New records don't wait for a round, so that 330 instances
+#: with 9 neighbours each can stay within the budget of 4 KB/s.
+ROUND_INTERVAL_S = 3.0
 
-#: Seconds that a peer has to answer.
-ANSWER_S = 2.0
+#: Seconds to wait for a peer's answer.
+ANSWER_TIMEOUT_S = 2.0
 
-#: Records in one message. Load: a data centre that leaves whole; harm: frames that
-#: hold up heartbeats on the same link; reason: some 6 KB each.
-MOST_RECORDS = 200
+#: Records in one message, about 6 KB. When a whole data centre leaves, larger frames
+#: would delay heartbeats on the same link.
+MAX_RECORDS_PER_MESSAGE = 200
 
 
 async def answer_leaving(
     instance: Instance, peer: Member, message: LeavingNews
 ) -> Nothing:
-    """Take in a peer's news; what is new here goes on to the own neighbours."""
+    """Merge a peer's records; those that are new here are pushed to neighbours."""
     hear_records(instance, message.records)
     return Nothing()
 
@@ -44,7 +44,7 @@
 async def answer_leaving_sync(
     instance: Instance, peer: Member, message: LeavingSync
 ) -> LeavingSync:
-    """Take in all records of a peer and answer with the own ones."""
+    """Merge all records of a peer and answer with those of this instance."""
     hear_records(instance, message.records)
     return LeavingSync(records=tuple(instance.leaving.records.values()))
 
@@ -52,7 +52,7 @@
 async def answer_health(
     instance: Instance, peer: Member, message: HealthNews
 ) -> HealthNews:
-    """Take in a peer's summaries and answer with those that it lacks."""
+    """Merge a peer's summaries and answer with those that it lacks."""
     hear_summaries(instance, peer.name, message.summaries)
     return _make_health_news(instance, peer.name)
 
@@ -64,37 +64,41 @@
     )
 
 
-async def _exchange(instance: Instance, links: PeerLinks, name: str) -> None:
-    """Compare notes with one neighbour."""
+async def _sync_with(instance: Instance, links: PeerLinks, name: str) -> None:
+    """Exchange summaries, and leaving records if they differ, with a neighbour."""
     address = instance.members.members[name].peer_address
     try:
         own = _make_health_news(instance, name)
-        theirs = await links.call(address, own, ANSWER_S)
+        theirs = await links.call(address, own, ANSWER_TIMEOUT_S)
         hear_summaries(instance, name, theirs.summaries)
         if theirs.digest == compute_leaving_digest(instance.leaving):
             return
         records = tuple(instance.leaving.records.values())
-        answer = await links.call(address, LeavingSync(records=records), ANSWER_S)
+        answer = await links.call(
+            address, LeavingSync(records=records), ANSWER_TIMEOUT_S
+        )
         hear_records(instance, answer.records)
     except PeerLost:
         return
 
 
-async def _tell(links: PeerLinks, address: str, message: LeavingNews) -> None:
+async def _send_records(links: PeerLinks, address: str, message: LeavingNews) -> None:
     try:
-        await links.call(address, message, ANSWER_S)
+        await links.call(address, message, ANSWER_TIMEOUT_S)
     except PeerLost:
         return
 
 
 def _push(instance: Instance, links: PeerLinks, records: list[LeavingRecord]) -> None:
-    """Send news to all neighbours, none waiting for another."""
-    for first in range(0, len(records), MOST_RECORDS):
-        message = LeavingNews(records=tuple(records[first : first + MOST_RECORDS]))
+    """Send records to all neighbours concurrently."""
+    for first in range(0, len(records), MAX_RECORDS_PER_MESSAGE):
+        message = LeavingNews(
+            records=tuple(records[first : first + MAX_RECORDS_PER_MESSAGE])
+        )
         for name in select_neighbours(instance.members):
             address = instance.members.members[name].peer_address
-            telling = _tell(links, address, message)
-            instance.keep_task(asyncio.create_task(telling))
+            sending = _send_records(links, address, message)
+            instance.keep_task(asyncio.create_task(sending))
 
 
 async def _wait_for_news(instance: Instance, until: float) -> bool:
@@ -108,7 +112,7 @@
 
 
 async def run_gossip(instance: Instance, links: PeerLinks) -> None:
-    """Push news as it comes, and compare notes with one neighbour each round."""
+    """Push new records at once, and exchange state with one neighbour each round."""
     turn = 0
     next_round = instance.read_clock()
     while True:
@@ -116,12 +120,13 @@
             records, instance.unsent_news = instance.unsent_news, []
             _push(instance, links, records)
             continue
-        next_round = instance.read_clock() + ROUND_S * instance.generator.uniform(
-            0.8, 1.2
+        next_round = (
+            instance.read_clock()
+            + ROUND_INTERVAL_S * instance.generator.uniform(0.8, 1.2)
         )
         neighbours = select_neighbours(instance.members)
         if neighbours:
             name = neighbours[turn % len(neighbours)]
-            exchanging = _exchange(instance, links, name)
+            exchanging = _sync_with(instance, links, name)
             instance.keep_task(asyncio.create_task(exchanging))
             turn += 1
--- a/packages/instance/fulmarward/health/_leaving.py
+++ b/packages/instance/fulmarward/health/_leaving.py
@@ -1,4 +1,4 @@
-"""Taking in what the sources say of leaving targets."""
+"""Merges the sources that report whether targets are leaving."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -16,12 +16,12 @@
     observe_report,
 )
 
-#: Refusals by which an engine says that it does not hold what was asked for.
+#: Refusal details of an engine that has not loaded the requested model or adapter.
 _NOT_HELD = ("not_loaded", "adapter_not_loaded")
 
 
 def show_leaving(instance: Instance, name: str) -> None:
-    """Make a target's view say what the leaving table says, with a log line."""
+    """Copy a target's leaving state from the table to its view, and log a change."""
     view = instance.views.get(name)
     if view is None:
         return
@@ -33,11 +33,11 @@
     log_event("target_leaving", target=name, leaving=leaving, sources=sources)
 
 
-def _hurry_report(instance: Instance, name: str) -> None:
-    """Use a target that placement changed only by what it says after the change.
+def _request_report(instance: Instance, name: str) -> None:
+    """Mark a target that placement changed as loading, and read its report at once.
 
-    Guards against what was held before: a chain would mix versions, and failures of
-    the new version would count against the old one.
+    By its old report a chain would mix versions, and failures of the new version would
+    count against the old one.
     """
     view = instance.views.get(name)
     if view is not None and view.held is not None:
@@ -46,48 +46,51 @@
         instance.report_hurries[name].set()
 
 
-def _spread(instance: Instance, name: str, news: LeavingRecord | None) -> None:
+def _apply_update(instance: Instance, name: str, news: LeavingRecord | None) -> None:
     show_leaving(instance, name)
     is_placed = news is not None and news.source is LeavingSource.PLACEMENT
     if is_placed and not news.is_leaving:
-        _hurry_report(instance, name)
+        _request_report(instance, name)
     if news is not None:
         instance.unsent_news.append(news)
         instance.news_came.set()
 
 
 def note_list(instance: Instance, name: str, *, leaving: bool) -> None:
-    """Take in the platform's list; before the first declaration all of it counts."""
+    """Record a target's state in the platform's list.
+
+    Undeclared targets are ignored, except before the first declaration.
+    """
     is_known = name in instance.snapshot.declaration.targets
     if instance.snapshot.head.epoch > 0 and not is_known:
         return
     key = (name, LeavingSource.PLATFORM_LIST)
     now = instance.read_clock()
     news = observe(instance.leaving, key, leaving=leaving, now=now)
-    _spread(instance, name, news)
+    _apply_update(instance, name, news)
 
 
 def note_report(instance: Instance, name: str, *, leaving: bool) -> None:
-    """Take in the word of a load report."""
+    """Record a target's state in its load report."""
     now = instance.read_clock()
     news = observe_report(instance.leaving, name, leaving=leaving, now=now)
-    _spread(instance, name, news)
+    _apply_update(instance, name, news)
 
 
 def note_placement(instance: Instance, name: str, *, leaving: bool) -> None:
-    """Stop or open a target for placement, on all instances."""
+    """Start or end placement's drain of a target, on all instances."""
     key = (name, LeavingSource.PLACEMENT)
     now = instance.read_clock()
     news = announce(instance.leaving, key, leaving=leaving, now=now)
-    _spread(instance, name, news)
+    _apply_update(instance, name, news)
 
 
 def note_refusal(instance: Instance, name: str, detail: str) -> None:
-    """Take in why a target refused a request before it began.
+    """Record why a target refused a request before executing it.
 
-    A target that says it leaves gets nothing more, and one that does not hold what
-    was asked for gets nothing until its next report: both refusals are newer than any
-    report can be.
+    A target that says it is leaving gets no more requests, and one that has not loaded
+    the requested model gets none until its next report: either refusal is newer than
+    any report at hand.
     """
     view = instance.views.get(name)
     if view is not None and detail in _NOT_HELD and view.held is not None:
@@ -96,15 +99,15 @@
         key = (name, LeavingSource.TARGET)
         now = instance.read_clock()
         news = observe(instance.leaving, key, leaving=True, now=now)
-        _spread(instance, name, news)
+        _apply_update(instance, name, news)
 
 
 def hear_records(instance: Instance, records: Iterable[LeavingRecord]) -> None:
-    """Take in records of a peer or of the platform's table, and pass on the news."""
+    """Merge records of a peer or the platform's table, and push the new ones."""
     now = instance.read_clock()
     declared = instance.snapshot.declaration.targets
     for record in records:
         if record.target in declared and merge_record(
             instance.leaving, record, now=now
         ):
-            _spread(instance, record.target, record)
+            _apply_update(instance, record.target, record)
--- a/packages/instance/fulmarward/health/_summaries.py
+++ b/packages/instance/fulmarward/health/_summaries.py
@@ -1,4 +1,4 @@
-"""Summaries of pools: adding up the own data centre's, and hearing of the others."""
+"""Pool summaries: computes those of its data centre, and merges those of others."""
 
 import asyncio
 
@@ -16,9 +16,9 @@
 )
 from fulmarward_core.membership import MemberState
 
-#: Seconds between two summaries of one pool. Load: 76 pools and data centres; harm:
-#: bytes of the 4 KB/s; reason: shifting between data centres takes longer than this.
-SUMMARY_S = 15.0
+#: Seconds between two summaries of one pool. Shifting load between data centres takes
+#: longer than this, and 76 pairs of pool and data centre have to share 4 KB/s.
+SUMMARY_INTERVAL_S = 15.0
 
 
 def _read_wall_tenths(instance: Instance) -> int:
@@ -35,7 +35,7 @@
     ] or [instance.member.name]
 
 
-def _add_up_own(instance: Instance) -> None:
+def _compute_own_summaries(instance: Instance) -> None:
     own = instance.settings.data_centre
     targets = instance.snapshot.declaration.targets
     instances = _list_instances(instance)
@@ -54,8 +54,8 @@
         instance.summary_versions[key] = _read_wall_tenths(instance)
 
 
-def _forget_old(instance: Instance) -> None:
-    """Drop pools and peers that are gone: memory is bounded by the declaration."""
+def _drop_removed(instance: Instance) -> None:
+    """Drop removed pools and peers, so that the declaration bounds memory."""
     declaration = instance.snapshot.declaration
     for key in list(instance.summaries):
         if key[0] not in declaration.models or key[1] not in declaration.data_centres:
@@ -67,9 +67,9 @@
 
 
 def take_unsent(instance: Instance, peer: str) -> tuple[SummaryRecord, ...]:
-    """Return the summaries that a peer lacks, and note them as sent.
+    """Return the summaries that a peer lacks, and mark them as sent.
 
-    One that is lost on the way is made good by the next summary of its pool.
+    A summary lost in transit is replaced by the next one of its pool.
     """
     sent = instance.summaries_sent.setdefault(peer, {})
     keys = select_unsent(instance.summary_versions, sent)
@@ -95,7 +95,7 @@
 def hear_summaries(
     instance: Instance, peer: str, records: tuple[SummaryRecord, ...]
 ) -> None:
-    """Take in a peer's summaries, each if it is newer than what is known."""
+    """Merge a peer's summaries, keeping the newer version of each."""
     sent = instance.summaries_sent.setdefault(peer, {})
     wall = _read_wall_tenths(instance)
     declaration = instance.snapshot.declaration
@@ -117,8 +117,8 @@
 
 
 async def run_summaries(instance: Instance) -> None:
-    """Add up what this instance has to tell, now and then."""
+    """Periodically recompute the summaries that this instance is responsible for."""
     while True:
-        _forget_old(instance)
-        _add_up_own(instance)
-        await asyncio.sleep(SUMMARY_S * instance.generator.uniform(0.8, 1.2))
+        _drop_removed(instance)
+        _compute_own_summaries(instance)
+        await asyncio.sleep(SUMMARY_INTERVAL_S * instance.generator.uniform(0.8, 1.2))
--- a/packages/instance/fulmarward/membership/__init__.py
+++ b/packages/instance/fulmarward/membership/__init__.py
@@ -1,4 +1,4 @@
-"""The tasks that keep the member table fresh."""
+"""Failure detection and dissemination of the member table between instances."""
 
 from fulmarward.membership._hearing import (
     announce_leaving,
--- a/packages/instance/fulmarward/membership/_hearing.py
+++ b/packages/instance/fulmarward/membership/_hearing.py
@@ -1,4 +1,4 @@
-"""Taking in what peers say of members, and saying what is known here."""
+"""Merges member updates from peers, and answers membership messages."""
 
 from dataclasses import replace
 
@@ -17,16 +17,16 @@
 
 
 def hear_of(instance: Instance, rumours: tuple[Member, ...]) -> None:
-    """Take in what a peer says of members, and refute what is false of this one.
+    """Merge member updates from a peer, and refute false ones about this instance.
 
-    That an instance leaves, and that one lives that was thought dead, is told on at
-    once; all else waits for the next heartbeat, so that a burst of news stays within
-    the bytes that heartbeats may take.
+    Records of leaving instances and refutations by this instance are sent to the
+    neighbours at once. All other updates wait for the next heartbeat, so that a burst
+    of changes stays within the byte budget of heartbeats.
     """
     is_urgent = False
     for rumour in rumours:
         if rumour.name == instance.member.name:
-            is_urgent |= _hear_of_oneself(instance, rumour)
+            is_urgent |= _refute_own_rumour(instance, rumour)
             continue
         if merge_member(instance.members, rumour, now=instance.read_clock()):
             is_urgent |= rumour.state is MemberState.LEAVING
@@ -35,7 +35,7 @@
         instance.stir_news()
 
 
-def _hear_of_oneself(instance: Instance, rumour: Member) -> bool:
+def _refute_own_rumour(instance: Instance, rumour: Member) -> bool:
     newer = refute_rumour(instance.member, rumour)
     if newer is None:
         return False
@@ -55,7 +55,7 @@
     )
 
 
-def _make_words(instance: Instance, correction: tuple[Member, ...]) -> dict:
+def _make_heartbeat_fields(instance: Instance, correction: tuple[Member, ...]) -> dict:
     return {
         "boot": instance.member.boot,
         "version": instance.member.version,
@@ -66,7 +66,7 @@
 
 
 def _correct_peer(instance: Instance, peer: Member) -> tuple[Member, ...]:
-    """Return what is believed of a peer if the peer has to refute it."""
+    """Return the local record of a peer if the peer has to refute it."""
     known = instance.members.members.get(peer.name)
     if known is None:
         return ()
@@ -75,9 +75,9 @@
 
 
 def make_ping(instance: Instance, peer: Member | None) -> Ping:
-    """Return the next heartbeat to `peer`, as it is believed to be."""
+    """Return the next heartbeat to `peer`, which is its record as known here."""
     correction = () if peer is None else _correct_peer(instance, peer)
-    return Ping(**_make_words(instance, correction))
+    return Ping(**_make_heartbeat_fields(instance, correction))
 
 
 async def answer_ping(instance: Instance, peer: Member, message: Ping) -> Pong:
@@ -85,14 +85,14 @@
     instance.metrics.control_messages.add({"kind": "ping", "direction": "received"}, 1)
     hear_of(instance, (peer, *message.rumours))
     instance.note_epoch(message.epoch, peer.peer_address)
-    speaker = replace(peer, boot=message.boot, version=message.version)
-    return Pong(**_make_words(instance, _correct_peer(instance, speaker)))
+    sender = replace(peer, boot=message.boot, version=message.version)
+    return Pong(**_make_heartbeat_fields(instance, _correct_peer(instance, sender)))
 
 
 async def answer_members(
     instance: Instance, peer: Member, message: AskMembers
 ) -> BucketMembers:
-    """Send a peer the members in the buckets that differ."""
+    """Answer with the members of the buckets whose digests differ."""
     table = instance.members
     differing = select_differing(table, message.digests)
     return BucketMembers(digests=tuple(table.digests), members=tuple(differing))
@@ -101,13 +101,13 @@
 async def answer_sync(
     instance: Instance, peer: Member, message: SyncMembers
 ) -> Nothing:
-    """Take in the members that a peer knows better."""
+    """Merge the members for which a peer has newer records."""
     hear_of(instance, message.members)
     return Nothing()
 
 
 def announce_leaving(instance: Instance) -> None:
-    """Say of oneself that one is leaving; neighbours are told at once."""
+    """Mark this instance as leaving, and notify the neighbours at once."""
     instance.member = replace(
         instance.member,
         version=instance.member.version + 1,
--- a/packages/instance/fulmarward/membership/_heartbeats.py
+++ b/packages/instance/fulmarward/membership/_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats to the neighbours in the ring, one task for each."""
+"""Sends heartbeats to the ring neighbours, with one task for each."""
 
 import asyncio
 import logging
@@ -27,22 +27,23 @@
     worsen_member,
 )
 
-#: Seconds between two looks at the ring and the suspicions.
-LOOK_S = 0.5
+#: Seconds between two checks of the neighbour set and of suspected members.
+CHECK_INTERVAL_S = 0.5
 
-#: Least seconds between two heartbeats on one link, whatever news there is.
-LEAST_GAP_S = 0.2
+#: Minimum seconds between two heartbeats on one link, even with urgent updates.
+MIN_INTERVAL_S = 0.2
 
-#: Heartbeats in a row with differing digests and no rumours before tables are
-#: levelled. Harm: tables sent while the rumours that level them are on their way.
-MOST_DIFFERING = 2
+#: Consecutive heartbeats with differing digests and no pending updates before tables
+#: are synchronised. With fewer, tables would be sent while the updates that make them
+#: equal are still on their way.
+MAX_DIFFERING_DIGESTS = 2
 
-#: Seconds that another has to try a silent member.
-PROBE_S = 1.5
+#: Seconds that a peer has to probe a silent member.
+PROBE_TIMEOUT_S = 1.5
 
 
 def _list_neighbours(instance: Instance) -> list[str]:
-    """Return the neighbours in the ring, computed once for each change."""
+    """Return the ring neighbours, recomputed only when the table has changed."""
     table = instance.members
     if instance.neighbours_revision != table.revision:
         instance.neighbours = select_neighbours(table)
@@ -53,7 +54,7 @@
 async def answer_probe(
     links: PeerLinks, instance: Instance, peer: Member, message: AskProbe
 ) -> Probed:
-    """Try a member that a peer does not reach."""
+    """Probe a member that a peer cannot reach."""
     try:
         await ping(instance, links, message.peer_address)
         member = await links.find_member(message.peer_address)
@@ -72,7 +73,7 @@
 
     async def ask(prober: Member) -> bool:
         try:
-            answer = await links.call(prober.peer_address, asked, PROBE_S)
+            answer = await links.call(prober.peer_address, asked, PROBE_TIMEOUT_S)
         except PeerLost:
             return False
         return answer.has_answered
@@ -82,10 +83,10 @@
     return any(answers)
 
 
-async def _judge_silence(
+async def _handle_miss(
     instance: Instance, links: PeerLinks, member: Member, misses: int, refused: bool
 ) -> None:
-    """Say that a neighbour is suspect once others do not reach it either."""
+    """Mark a neighbour as suspect if other instances cannot reach it either."""
     await links.drop(member.peer_address)
     if judge_miss(misses, is_refused=refused) is Miss.TRY_AGAIN:
         return
@@ -101,31 +102,31 @@
         refused=refused,
         reached_by_others=is_reached,
     )
-    # The silence of a pause was this instance's own.
+    # If this instance was paused, the missed answers say nothing about the member.
     if not is_reached and instance.pauses == pauses and not instance.has_paused():
         hear_of(instance, (worsen_member(member),))
 
 
-async def _wait_for_beat(instance: Instance, name: str, misses: int) -> None:
-    """Wait for the next heartbeat's time, or for news that cannot wait.
+async def _wait_for_heartbeat(instance: Instance, name: str, misses: int) -> None:
+    """Wait until the next heartbeat is due or an update is urgent.
 
-    The first that was missed is repeated at once: each second until a loss is
-    noticed is one in which callers are sent there.
+    After the first missed heartbeat the next one is sent at once: until a failure is
+    detected, callers are still sent to the failed instance.
     """
-    stirred = instance.news_stirred
+    urgent_update = instance.news_stirred
     seconds = choose_heartbeat(_list_neighbours(instance), name)
-    await asyncio.sleep(LEAST_GAP_S)
+    await asyncio.sleep(MIN_INTERVAL_S)
     if misses == 1:
         return
     try:
-        async with asyncio.timeout(seconds - LEAST_GAP_S):
-            await stirred.wait()
+        async with asyncio.timeout(seconds - MIN_INTERVAL_S):
+            await urgent_update.wait()
     except TimeoutError:
         return
 
 
-async def _beat(instance: Instance, links: PeerLinks, name: str) -> None:
-    """Send heartbeats to one neighbour until it is one no more."""
+async def _run_heartbeats(instance: Instance, links: PeerLinks, name: str) -> None:
+    """Send heartbeats to one member for as long as it is a neighbour."""
     misses = differing = 0
     while name in _list_neighbours(instance):
         member = instance.members.members[name]
@@ -135,20 +136,20 @@
             is_settled = not instance.members.untold
             is_different = digest != combine_digests(instance.members)
             differing = differing + 1 if is_settled and is_different else 0
-            if differing >= MOST_DIFFERING:
+            if differing >= MAX_DIFFERING_DIGESTS:
                 differing = 0
                 await level_tables(instance, links, member.peer_address)
         except PeerLost as lost:
             misses += 1
-            await _judge_silence(instance, links, member, misses, lost.is_refused)
-        await _wait_for_beat(instance, name, misses)
+            await _handle_miss(instance, links, member, misses, lost.is_refused)
+        await _wait_for_heartbeat(instance, name, misses)
     await _drop_unless_neighbour(instance, links, name)
 
 
 async def _drop_unless_neighbour(
     instance: Instance, links: PeerLinks, name: str
 ) -> None:
-    """Close the link to one that is a neighbour no more, so that links stay few."""
+    """Close the link to a former neighbour, to bound the number of open links."""
     member = instance.members.members.get(name)
     if member is not None and name not in _list_neighbours(instance):
         await links.drop(member.peer_address)
@@ -162,24 +163,26 @@
 
 
 async def _watch_ring(instance: Instance, links: PeerLinks) -> None:
-    """Keep one heartbeat task for each neighbour, and watch over the suspects."""
-    beats: dict[str, asyncio.Task] = {}
+    """Keep one heartbeat task for each neighbour, and expire suspected members."""
+    heartbeats: dict[str, asyncio.Task] = {}
     try:
         while True:
-            for name in [name for name, task in beats.items() if task.done()]:
-                beats.pop(name).result()
+            for name in [name for name, task in heartbeats.items() if task.done()]:
+                heartbeats.pop(name).result()
             for name in _list_neighbours(instance):
-                if name not in beats:
-                    beats[name] = asyncio.create_task(_beat(instance, links, name))
+                if name not in heartbeats:
+                    heartbeats[name] = asyncio.create_task(
+                        _run_heartbeats(instance, links, name)
+                    )
             _check_suspects(instance)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
     finally:
-        for task in beats.values():
+        for task in heartbeats.values():
             task.cancel()
 
 
 async def run_membership(instance: Instance, links: PeerLinks) -> None:
-    """Meet the fleet, then keep the member table fresh."""
+    """Join the fleet, then keep the member table up to date."""
     await read_list(instance)
     await meet_peers(instance, links)
     instance.met_peers.set()
--- a/packages/instance/fulmarward/membership/_listing.py
+++ b/packages/instance/fulmarward/membership/_listing.py
@@ -1,4 +1,4 @@
-"""Reading the platform's list of instances and targets, which lags."""
+"""Polls the platform's list of instances and targets, which lags behind reality."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 async def read_list(instance: Instance) -> bool:
-    """Take in the platform's list; return whether the platform answered."""
+    """Merge the platform's list; return whether the platform answered."""
     entries = await list_members(instance.platform)
     if isinstance(entries, PlatformOut):
         return False
@@ -34,7 +34,7 @@
 
 
 async def read_lists(instance: Instance) -> None:
-    """Read the platform's list again and again."""
+    """Poll the platform's list, less often after failures."""
     failures = 0
     while True:
         delay = choose_list_delay(
--- a/packages/instance/fulmarward/membership/_meeting.py
+++ b/packages/instance/fulmarward/membership/_meeting.py
@@ -1,4 +1,4 @@
-"""Meeting instances with which no link stands, and levelling member tables."""
+"""Contacts instances without a link, and synchronises member tables with peers."""
 
 import asyncio
 
@@ -13,22 +13,22 @@
     select_neighbours,
 )
 
-#: Seconds that a peer has to answer, a new link to it included.
-ANSWER_S = 1.0
+#: Seconds to wait for a peer's answer, including the time to open a link.
+ANSWER_TIMEOUT_S = 1.0
 
-#: Peers with which a new instance levels its table before it is ready.
-LEVELLED_AT_START = 3
+#: Peers with which a new instance synchronises its table before it is ready.
+PEERS_SYNCED_AT_START = 3
 
-#: Seconds between two tries to meet a stranger, on average. Load: a fleet of which
-#: one half was cut off for an hour; reason: of 330 instances some thirty try each
-#: second, and one that gets through is enough.
-STRANGER_S = 10.0
+#: Mean seconds between two attempts to contact an instance that is not a live member.
+#: After a partition that cut off half of the fleet for an hour, some thirty of 330
+#: instances try each second, and one successful contact is enough to heal it.
+CONTACT_INTERVAL_S = 10.0
 
 
 async def ping(instance: Instance, links: PeerLinks, address: str) -> int:
-    """Exchange heartbeats and return the peer's digest; raises `PeerLost`."""
+    """Exchange heartbeats and return the peer's table digest; raises `PeerLost`."""
     try:
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             return await _exchange_heartbeats(instance, links, address)
     except TimeoutError as error:
         raise PeerLost("no answer in time", is_sent=True) from error
@@ -39,28 +39,28 @@
 ) -> int:
     peer = await links.find_member(address)
     instance.metrics.control_messages.add({"kind": "ping", "direction": "sent"}, 1)
-    answer = await links.call(address, make_ping(instance, peer), ANSWER_S)
+    answer = await links.call(address, make_ping(instance, peer), ANSWER_TIMEOUT_S)
     hear_of(instance, (peer, *answer.rumours))
     instance.note_epoch(answer.epoch, address)
     return answer.digest
 
 
 async def level_tables(instance: Instance, links: PeerLinks, address: str) -> None:
-    """Make this table and the peer's say the same; raises `PeerLost`."""
+    """Synchronise the member table with a peer's; raises `PeerLost`."""
     table = instance.members
     asked = AskMembers(digests=tuple(table.digests))
     instance.metrics.control_messages.add({"kind": "sync", "direction": "sent"}, 1)
-    theirs = await links.call(address, asked, ANSWER_S)
+    theirs = await links.call(address, asked, ANSWER_TIMEOUT_S)
     hear_of(instance, theirs.members)
     known = {member.name: member for member in theirs.members}
     own = select_differing(table, theirs.digests)
-    better = tuple(item for item in own if is_newer(item, known.get(item.name)))
-    if better:
-        await links.call(address, SyncMembers(members=better), ANSWER_S)
+    newer_here = tuple(item for item in own if is_newer(item, known.get(item.name)))
+    if newer_here:
+        await links.call(address, SyncMembers(members=newer_here), ANSWER_TIMEOUT_S)
 
 
-async def _meet(instance: Instance, links: PeerLinks, address: str) -> Member | None:
-    """Greet whoever listens at `address`; return who it is."""
+async def _contact(instance: Instance, links: PeerLinks, address: str) -> Member | None:
+    """Contact the instance at `address`; return its member, or `None` on failure."""
     try:
         await ping(instance, links, address)
         await level_tables(instance, links, address)
@@ -70,29 +70,29 @@
 
 
 async def meet_peers(instance: Instance, links: PeerLinks) -> None:
-    """Meet the first peers, from the seeds and the platform's list.
+    """Synchronise with the first reachable seeds and listed instances.
 
-    The tables of a few are enough: they name all others, and this instance's last
-    run, whose boot the new one has to exceed before anything is handed out in its
-    name.
+    The tables of a few peers are enough: they contain all other members, and this
+    instance's last run, whose boot number the new one has to exceed before anything
+    is handed out in its name.
     """
-    met = 0
+    contacted = 0
     addresses = list_strangers(instance.members, instance.settings.seed_peers)
     instance.generator.shuffle(addresses)
     for address in addresses:
-        met += await _meet(instance, links, address) is not None
-        if met >= LEVELLED_AT_START:
+        contacted += await _contact(instance, links, address) is not None
+        if contacted >= PEERS_SYNCED_AT_START:
             return
 
 
 async def meet_strangers(instance: Instance, links: PeerLinks) -> None:
-    """Try now and then to meet somebody who is listed or was known."""
+    """Periodically try to contact a seed, listed or formerly known instance."""
     while True:
-        await asyncio.sleep(STRANGER_S * instance.generator.uniform(0.5, 1.5))
+        await asyncio.sleep(CONTACT_INTERVAL_S * instance.generator.uniform(0.5, 1.5))
         strangers = list_strangers(instance.members, instance.settings.seed_peers)
         if not strangers:
             continue
         address = instance.generator.choice(strangers)
-        member = await _meet(instance, links, address)
+        member = await _contact(instance, links, address)
         if member is None or member.name not in select_neighbours(instance.members):
             await links.drop(address)
