--- a/packages/instance/fulmarward/peers/__init__.py
+++ b/packages/instance/fulmarward/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Links between instances: websockets that carry CBOR messages."""
+"""Links between instances: CBOR messages over websocket connections."""
 
 from fulmarward.peers._codec import MessageFault, decode_message, encode_message
 from fulmarward.peers._links import PeerLinks, PeerLost
--- a/packages/instance/fulmarward/peers/_codec.py
+++ b/packages/instance/fulmarward/peers/_codec.py
@@ -1,4 +1,4 @@
-"""Messages between instances as CBOR."""
+"""Encodes and decodes messages between instances as CBOR."""
 
 from fulmarward.peers._messages import MESSAGES
 from fulmarward_core.codec import MessageCodec, MessageFault
--- a/packages/instance/fulmarward/peers/_frames.py
+++ b/packages/instance/fulmarward/peers/_frames.py
@@ -1,4 +1,4 @@
-"""Frames on a link: which call a message belongs to, and what it is in it."""
+"""Frames of a link, which multiplex concurrent calls over one connection."""
 
 import struct
 from dataclasses import dataclass
@@ -8,39 +8,39 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame is in its call."""
+    """The role of a frame within its call."""
 
-    #: Begins a call.
+    #: The request that starts a call.
     CALL = 0
-    #: The one answer, or the last of several.
+    #: The only response, or the last of several.
     REPLY = 1
-    #: One of several answers; more follow.
+    #: One of several responses; more follow.
     ITEM = 2
-    #: The answering side could not answer.
+    #: The callee could not process the call.
     FAULT = 3
-    #: The calling side does not want more answers.
+    #: The caller wants no further responses.
     CANCEL = 4
 
 
 @dataclass(frozen=True, kw_only=True)
 class Frame:
-    """One frame."""
+    """A frame header and its encoded message."""
 
-    #: What it is.
+    #: The frame's role in its call.
     kind: FrameKind
-    #: Number of the call on this link.
+    #: Number of the call, unique on this link.
     call: int
-    #: The message's bytes; empty for `FAULT` and `CANCEL`.
+    #: The encoded message; empty for `FAULT` and `CANCEL`.
     message: bytes = b""
 
 
 def pack_frame(frame: Frame) -> bytes:
-    """Return the frame's bytes."""
+    """Return the encoded frame."""
     return _HEAD.pack(frame.kind, frame.call) + frame.message
 
 
 def unpack_frame(data: bytes) -> Frame | None:
-    """Return the frame in `data`, or `None` when it is none."""
+    """Return the frame in `data`, or `None` if it is malformed."""
     if not isinstance(data, bytes) or len(data) < _HEAD.size:
         return None
     kind, call = _HEAD.unpack_from(data)
--- a/packages/instance/fulmarward/peers/_handshake.py
+++ b/packages/instance/fulmarward/peers/_handshake.py
@@ -1,7 +1,7 @@
-"""How two instances prove to each other that they know the fleet's secret.
+"""Mutual authentication of two instances by the fleet's shared secret.
 
-Guards against a stranger on the peer port: without the secret no proof over a
-fresh nonce can be made, and a proof heard on one link is no use on another.
+Keeps unauthenticated clients off the peer port: a proof over a fresh nonce requires
+the secret, and a proof captured on one link is invalid on another.
 """
 
 import hashlib
@@ -15,7 +15,7 @@
 from fulmarward.peers._messages import Challenge, Hello, Welcome
 from fulmarward_core.membership import Member
 
-#: Bytes of a nonce.
+#: Length of a nonce in bytes.
 NONCE_BYTES = 16
 
 
@@ -26,7 +26,7 @@
 def make_proof(
     secret: bytes, *, role: str, name: str, own_nonce: bytes, other_nonce: bytes
 ) -> bytes:
-    """Return the proof that one side shows: it covers its role, name and nonces."""
+    """Return the HMAC that proves one side's role, name and both nonces."""
     message = b"\0".join([role.encode(), name.encode(), own_nonce, other_nonce])
     return hmac.new(secret, message, hashlib.sha256).digest()
 
@@ -34,7 +34,7 @@
 def check_proof(
     accepted: Sequence[bytes], proof: bytes, **covered: str | bytes
 ) -> bytes | None:
-    """Return the accepted secret that made `proof`, or `None`."""
+    """Return the accepted secret that `proof` was made with, or `None`."""
     for secret in accepted:
         if hmac.compare_digest(make_proof(secret, **covered), proof):
             return secret
@@ -55,7 +55,7 @@
 async def greet_dialler(
     connection: Connection, *, own: Member, accepted: Sequence[bytes]
 ) -> Member:
-    """Do the listening side's part; return who dialled or raise."""
+    """Run the listening side's handshake; return the dialling member or raise."""
     nonce = secrets.token_bytes(NONCE_BYTES)
     await connection.send(encode_message(Challenge(nonce=nonce)))
     hello = await _receive(connection, Hello)
@@ -79,7 +79,7 @@
 async def greet_listener(
     connection: Connection, *, own: Member, accepted: Sequence[bytes]
 ) -> Member:
-    """Do the dialling side's part; return who listens or raise."""
+    """Run the dialling side's handshake; return the listening member or raise."""
     challenge = await _receive(connection, Challenge)
     nonce = secrets.token_bytes(NONCE_BYTES)
     proof = make_proof(
--- a/packages/instance/fulmarward/peers/_links.py
+++ b/packages/instance/fulmarward/peers/_links.py
@@ -1,4 +1,4 @@
-"""The dialling side of peer links: connections made when a call needs one."""
+"""The dialling side of peer links: connections are opened on demand."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Sequence
@@ -11,21 +11,21 @@
 from fulmarward.peers._codec import MessageFault, decode_message, encode_message
 from fulmarward.peers._frames import Frame, FrameKind, pack_frame, unpack_frame
 from fulmarward.peers._handshake import HandshakeRefused, greet_listener
-from fulmarward.peers._server import MOST_FRAME_BYTES
+from fulmarward.peers._server import MAX_FRAME_BYTES
 from fulmarward_core.membership import Member
 
-#: Seconds to connect and prove.
-CONNECT_S = 2.0
+#: Timeout in seconds for the connection and the handshake.
+CONNECT_TIMEOUT_S = 2.0
 
 
 class PeerLost(Exception):
-    """A call to a peer got no answer. It may have been carried out."""
+    """A call to a peer got no answer; it may have been executed."""
 
     def __init__(self, detail: str, *, is_sent: bool, is_refused: bool = False) -> None:
         super().__init__(detail)
-        #: Whether nobody listens at the address, as the peer's system itself says.
+        #: Whether the peer's host refused the connection: nothing listens there.
         self.is_refused = is_refused
-        #: Whether the call left this instance; if not it was not carried out.
+        #: Whether the call was sent; if not, it was not executed.
         self.is_sent = is_sent
 
 
@@ -33,7 +33,7 @@
 class _Link:
     connection: ClientConnection
     peer: Member
-    #: Frames of each open call; `None` says that the link is lost.
+    #: Received frames of each open call; `None` marks the loss of the link.
     calls: dict[int, asyncio.Queue[Frame | None]] = field(default_factory=dict)
     numbers: count = field(default_factory=count)
     reader: asyncio.Task | None = None
@@ -41,23 +41,23 @@
 
 @dataclass(kw_only=True)
 class PeerLinks:
-    """All links that this instance dialled, by address."""
+    """All links that this instance has dialled, by address."""
 
-    #: Returns what this instance says of itself.
+    #: Returns this instance's own member record.
     read_own: Callable[[], Member]
-    #: Returns the peer secrets in force.
+    #: Returns the current peer secrets.
     read_secrets: Callable[[], Sequence[bytes]]
-    #: Told of bytes sent and received: (direction, bytes).
+    #: Called with the direction and the number of bytes of each frame.
     count_bytes: Callable[[str, int], None]
     links: dict[str, _Link] = field(default_factory=dict)
     locks: dict[str, asyncio.Lock] = field(default_factory=dict)
 
     async def call(self, address: str, message: object, timeout_s: float) -> object:
         """Call the peer at `address` and return its answer; raises `PeerLost`."""
-        link, number, frames = await self._begin(address, message)
+        link, number, frames = await self._start_call(address, message)
         try:
             async with asyncio.timeout(timeout_s):
-                return self._open(await frames.get())
+                return self._decode_answer(await frames.get())
         except TimeoutError as error:
             raise PeerLost("no answer in time", is_sent=True) from error
         finally:
@@ -68,9 +68,9 @@
     ) -> AsyncIterator[object]:
         """Call the peer and yield its answers; raises `PeerLost`.
 
-        `silence_s` is the most that may pass between two answers.
+        `silence_s` is the timeout between two answers.
         """
-        link, number, frames = await self._begin(address, message)
+        link, number, frames = await self._start_call(address, message)
         is_over = False
         try:
             while True:
@@ -80,7 +80,7 @@
                 if frame is not None and is_over and not frame.message:
                     if frame.kind is FrameKind.REPLY:
                         return
-                yield self._open(frame)
+                yield self._decode_answer(frame)
                 if is_over:
                     return
         except TimeoutError as error:
@@ -88,29 +88,29 @@
         finally:
             link.calls.pop(number, None)
             if not is_over:
-                await self._send_quietly(
+                await self._send_if_open(
                     link, Frame(kind=FrameKind.CANCEL, call=number)
                 )
 
     async def find_member(self, address: str) -> Member:
-        """Return who listens at `address`, connecting if needed; raises `PeerLost`."""
+        """Return the member at `address`, connecting if needed; raises `PeerLost`."""
         return (await self._get_link(address)).peer
 
     def has_link(self, address: str) -> bool:
-        """Return whether there is a link to `address` now."""
+        """Return whether a link to `address` is open."""
         return address in self.links
 
     async def drop_idle(self, address: str) -> None:
-        """Close the link to `address` unless a call is open on it."""
+        """Close the link to `address` unless it has open calls."""
         link = self.links.get(address)
         if link is not None and not link.calls:
             await self.drop(address)
 
     async def drop(self, address: str) -> None:
-        """Close the link to `address`; the next call makes a new one.
+        """Close the link to `address`; the next call opens a new one.
 
-        Guards against a connection that hangs: its packets are lost on a way that a
-        new one need not take, and every call waits until its time is over.
+        A connection may hang because its packets are lost on a path that a new
+        connection need not take; every call on it would run into its timeout.
         """
         link = self.links.pop(address, None)
         lock = self.locks.get(address)
@@ -124,7 +124,7 @@
         for link in list(self.links.values()):
             await link.connection.close()
 
-    async def _begin(
+    async def _start_call(
         self, address: str, message: object
     ) -> tuple[_Link, int, asyncio.Queue[Frame | None]]:
         link = await self._get_link(address)
@@ -141,7 +141,7 @@
         self.count_bytes("sent", len(frame))
         return link, number, frames
 
-    def _open(self, frame: Frame | None) -> object:
+    def _decode_answer(self, frame: Frame | None) -> object:
         if frame is None:
             raise PeerLost("link closed", is_sent=True)
         if frame.kind is FrameKind.FAULT:
@@ -151,7 +151,7 @@
         except MessageFault as error:
             raise PeerLost(str(error), is_sent=True) from error
 
-    async def _send_quietly(self, link: _Link, frame: Frame) -> None:
+    async def _send_if_open(self, link: _Link, frame: Frame) -> None:
         try:
             await link.connection.send(pack_frame(frame))
         except websockets.ConnectionClosed:
@@ -168,15 +168,15 @@
 
     async def _dial(self, address: str) -> _Link:
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 connection = await connect(
                     f"ws://{address}",
                     compression=None,
                     ping_interval=None,
-                    max_size=MOST_FRAME_BYTES,
+                    max_size=MAX_FRAME_BYTES,
                     proxy=None,
                 )
-                peer = await self._prove(connection)
+                peer = await self._authenticate(connection)
         except (
             OSError,
             TimeoutError,
@@ -187,14 +187,14 @@
             is_refused = isinstance(error, ConnectionRefusedError)
             raise PeerLost(detail, is_sent=False, is_refused=is_refused) from error
         link = _Link(connection=connection, peer=peer)
-        link.reader = asyncio.create_task(self._read(address, link))
+        link.reader = asyncio.create_task(self._read_frames(address, link))
         return link
 
-    async def _prove(self, connection: ClientConnection) -> Member:
-        """Prove the secret on a fresh connection, or close it.
+    async def _authenticate(self, connection: ClientConnection) -> Member:
+        """Run the handshake on a new connection, and close it on failure.
 
-        Guards against a peer that accepts and says nothing, as a frozen one does:
-        each try would leave a connection behind.
+        A frozen peer accepts connections and sends nothing, so that each attempt
+        would otherwise leak a connection.
         """
         try:
             return await greet_listener(
@@ -204,8 +204,8 @@
             connection.transport.abort()
             raise
 
-    async def _read(self, address: str, link: _Link) -> None:
-        """Sort frames into their calls until the link is lost."""
+    async def _read_frames(self, address: str, link: _Link) -> None:
+        """Dispatch received frames to their calls until the link is lost."""
         try:
             async for data in link.connection:
                 self.count_bytes("received", len(data))
--- a/packages/instance/fulmarward/peers/_messages.py
+++ b/packages/instance/fulmarward/peers/_messages.py
@@ -1,6 +1,7 @@
-"""The messages between instances. A message's place in `MESSAGES` is its number.
+"""The messages between instances. The position in `MESSAGES` is the message number.
 
-New messages go to the end, so that instances of two releases understand each other.
+New messages are appended, so that instances of different releases understand each
+other.
 """
 
 from dataclasses import dataclass
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Challenge:
-    """The listening side's first word: prove that you know the secret."""
+    """The listening side's challenge, the first message on a link."""
 
     #: Random bytes that the proof must cover.
     nonce: bytes
@@ -31,9 +32,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Hello:
-    """The dialling side's proof, and its own challenge."""
+    """The dialling side's proof and its own challenge."""
 
-    #: Who dials.
+    #: The dialling instance.
     member: Member
     #: Random bytes that the other side's proof must cover.
     nonce: bytes
@@ -45,7 +46,7 @@
 class Welcome:
     """The listening side's proof; calls may follow."""
 
-    #: Who listens.
+    #: The listening instance.
     member: Member
     #: Proof of the secret over both nonces and the name.
     proof: bytes
@@ -53,75 +54,75 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Nothing:
-    """An answer that carries no more than that it came."""
+    """An empty acknowledgement."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Ping:
-    """A heartbeat. Who sends it is known from the link."""
+    """A heartbeat. The link identifies its sender."""
 
-    #: Number of the sender's run.
+    #: Boot number of the sender.
     boot: int
-    #: The sender's version in that run.
+    #: Version of the sender's member record within that boot.
     version: int
     #: The sender's configuration epoch.
     epoch: int
     #: Digest of the sender's member table.
     digest: int
-    #: Recent changes of members.
+    #: Recently changed member records.
     rumours: tuple[Member, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Pong:
-    """The answer to a heartbeat, with the same from the other side."""
+    """The answer to a heartbeat, with the same fields for the answering side."""
 
-    #: Number of the answering instance's run.
+    #: Boot number of the answering instance.
     boot: int
-    #: Its version in that run.
+    #: Version of its member record within that boot.
     version: int
     #: Its configuration epoch.
     epoch: int
     #: Digest of its member table.
     digest: int
-    #: Recent changes of members.
+    #: Recently changed member records.
     rumours: tuple[Member, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class SyncMembers:
-    """Members that the receiver lacks or knows less of."""
+    """Member records that the receiver lacks or has in an older version."""
 
-    #: The members.
+    #: The records.
     members: tuple[Member, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class AskHead:
-    """Asks for the head of the configuration in force."""
+    """Requests the head of the active configuration."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class HeadNews:
-    """The head of the configuration in force at the sender."""
+    """The head of the sender's active configuration."""
 
     #: The head.
     head: Head
-    #: Whether the sender is sure that there is no newer one.
+    #: Whether the sender has confirmed that there is no newer one.
     is_confirmed: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class AskBody:
-    """Asks for a declaration's body."""
+    """Requests a declaration's body."""
 
-    #: Its content hash.
+    #: The body's content hash.
     content_hash: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Body:
-    """A declaration's body; empty when the sender has none of that hash."""
+    """A declaration's body; empty if the sender has none with that hash."""
 
     #: The JSON text.
     text: bytes
@@ -129,23 +130,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeavingNews:
-    """News of leaving targets; answered with `Nothing`."""
+    """New records of leaving targets; answered with `Nothing`."""
 
-    #: The records that are news.
+    #: The new records.
     records: tuple[LeavingRecord, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeavingSync:
-    """All leaving records, sent when digests differ and answered with the other's."""
+    """All leaving records, sent when digests differ; answered with the receiver's."""
 
-    #: All records that the sender has.
+    #: All records of the sender.
     records: tuple[LeavingRecord, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class HealthNews:
-    """Summaries that the other side lacks; answered with the same."""
+    """Summaries that the receiver lacks; answered with those the sender lacks."""
 
     #: Digest of the sender's leaving records.
     digest: int
@@ -155,7 +156,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AskMembers:
-    """Asks for the members in the buckets that differ; answered by `BucketMembers`."""
+    """Requests the members of differing buckets; answered with `BucketMembers`."""
 
     #: Digests of the sender's table by bucket.
     digests: tuple[int, ...]
@@ -163,7 +164,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BucketMembers:
-    """The members in the buckets that differ."""
+    """The members of the buckets whose digests differ."""
 
     #: Digests of the sender's table by bucket.
     digests: tuple[int, ...]
@@ -173,17 +174,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AskProbe:
-    """Asks the receiver to try a member that the sender does not reach."""
+    """Asks the receiver to probe a member that the sender cannot reach."""
 
     #: The member's name.
     name: str
-    #: Where peers reach it.
+    #: The member's address for peers.
     peer_address: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Probed:
-    """What the try came to."""
+    """The result of a probe."""
 
     #: Whether the member answered.
     has_answered: bool
@@ -191,7 +192,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AskOutcomes:
-    """Asks what became of attempts on the targets of a model."""
+    """Requests the outcome counts of attempts on a model's targets."""
 
     #: Name of the model.
     model: str
@@ -199,7 +200,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OutcomeCounts:
-    """What became of attempts at the sender, by version."""
+    """Outcome counts of the sender's attempts, by model version."""
 
     #: The counts.
     outcomes: tuple[Outcomes, ...]
@@ -207,7 +208,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AskInFlight:
-    """Asks how many requests the other instance has on a target."""
+    """Requests the number of requests that the receiver has on a target."""
 
     #: Name of the target.
     target: str
@@ -215,7 +216,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InFlight:
-    """How many requests the sender has on the target."""
+    """The number of requests that the sender has on the target."""
 
     #: The number.
     count: int
@@ -223,17 +224,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ForwardCompletion:
-    """A completion for the home of its key; answered by parts and an end."""
+    """A completion for the home instance of its key.
 
-    #: The boot of the home that is meant.
+    Answered with `AnswerPart` messages and an `AnswerEnd`.
+    """
+
+    #: The boot number of the home that is meant.
     boot: int
     #: The idempotency key and the hash of the caller's body.
     key: str
     body_hash: str
-    #: Name of the team and of the pipeline.
+    #: Names of the team and the pipeline.
     team: str
     pipeline: str
-    #: The prompt, most tokens and how soon it is needed.
+    #: The prompt, the token limit and the urgency.
     prompt: str
     max_tokens: int
     urgency: Urgency
@@ -243,14 +247,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ForwardCall:
-    """A service call for the home of its key; answered by parts and a result."""
+    """A service call for the home instance of its key.
+
+    Answered with `AnswerPart` messages and a `CallEnd`.
+    """
 
-    #: The boot of the home that is meant.
+    #: The boot number of the home that is meant.
     boot: int
     #: The idempotency key and the hash of the call.
     key: str
     body_hash: str
-    #: Name of the team and of the service.
+    #: Names of the team and the service.
     team: str
     service: str
     #: The call.
@@ -265,11 +272,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AnswerPart:
-    """The next events of an answer; none in a sign of life."""
+    """The next events of an answer, or none as a keep-alive."""
 
     #: Id of the request.
     request: str
-    #: The sealed locator, empty before there is one.
+    #: The sealed locator; empty while there is none.
     locator: str
     #: The texts of the events.
     texts: tuple[str, ...]
@@ -281,7 +288,7 @@
 
     #: `stop` or `length`; empty for a failure.
     end: str
-    #: Why there is no whole answer.
+    #: Why the answer is incomplete, or `None`.
     failure: Failure | None
 
 
@@ -291,9 +298,9 @@
 
     #: Id of the request.
     request: str
-    #: The service's answer.
+    #: The service's answer, or `None` on failure.
     result: ResultCopy | None
-    #: Why there is none.
+    #: The failure, or `None`.
     failure: Failure | None
 
 
@@ -301,33 +308,33 @@
 class RecordAttempt:
     """Asks the witness of a key to record an attempt before it is dispatched."""
 
-    #: The boot of the witness that is meant.
+    #: The boot number of the witness that is meant.
     boot: int
-    #: The key, the hash of its body and when its time is over.
+    #: The key, the hash of its body and its expiry time.
     key: str
     body_hash: str
     expires_at: float
     #: Id of the request.
     request: str
-    #: Where the attempt goes.
+    #: Destination of the attempt.
     place: AttemptPlace
 
 
 @dataclass(frozen=True, kw_only=True)
 class AttemptRecorded:
-    """What the witness says to it."""
+    """The witness's answer to `RecordAttempt`."""
 
-    #: Whether the home may dispatch.
+    #: Whether the home may dispatch the attempt.
     verdict: RecordVerdict
 
 
 @dataclass(frozen=True, kw_only=True)
 class TakeKey:
-    """Takes a key over from a home that cannot be reached."""
+    """Takes over a key from an unreachable home."""
 
-    #: The boot of the witness that is meant.
+    #: The boot number of the witness that is meant.
     boot: int
-    #: The key, the hash of its body and when its time is over.
+    #: The key, the hash of its body and its expiry time.
     key: str
     body_hash: str
     expires_at: float
@@ -335,25 +342,25 @@
 
 @dataclass(frozen=True, kw_only=True)
 class KeyTaken:
-    """What the witness knows of the key."""
+    """The witness's record of the key."""
 
-    #: The record; `None` when nobody can tell.
+    #: The record; `None` when the key's history is unknown.
     record: WitnessRecord | None
-    #: Seconds since its first attempt was recorded, and a margin.
+    #: Seconds since its first attempt was recorded, plus a margin.
     age_s: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class NoteKey:
-    """Tells the witness what became of a request; answered with `Nothing`."""
+    """Reports the progress of a request to the witness; answered with `Nothing`."""
 
-    #: The boot of the witness that is meant.
+    #: The boot number of the witness that is meant.
     boot: int
     #: The key.
     key: str
-    #: What happened.
+    #: The step that the request has reached.
     step: RecordStep
-    #: How it ended badly.
+    #: Why the request failed, or `None`.
     failure: Failure | None
     #: The answer, of a call that cannot be re-attached.
     answer: ResultCopy | None
@@ -361,13 +368,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShareDemand:
-    """What teams ask for at some instances; answered with the same of the other."""
+    """Teams' demand at some instances; answered with the receiver's rows."""
 
     #: Rows, the sender's own first.
     rows: tuple[DemandRow, ...]
 
 
-#: All messages in the order of their numbers.
+#: All messages, in the order of their numbers.
 MESSAGES = (
     Challenge,
     Hello,
--- a/packages/instance/fulmarward/peers/_server.py
+++ b/packages/instance/fulmarward/peers/_server.py
@@ -1,4 +1,4 @@
-"""The listening side of peer links: one task for each connection."""
+"""The listening side of peer links, with one task for each call."""
 
 import asyncio
 import logging
@@ -14,20 +14,20 @@
 from fulmarward.peers._handshake import HandshakeRefused, greet_dialler
 from fulmarward_core.membership import Member
 
-#: Largest frame taken, in bytes: a declaration's body.
-MOST_FRAME_BYTES = 16 * 1024 * 1024
+#: Maximum frame size in bytes; a declaration's body has to fit.
+MAX_FRAME_BYTES = 16 * 1024 * 1024
 
-#: Seconds that a dialler has for its proof.
-HANDSHAKE_S = 3.0
+#: Timeout of the handshake in seconds.
+HANDSHAKE_TIMEOUT_S = 3.0
 
-#: A handler answers a message with one message, or with several one by one.
+#: A handler answers a message with one message or a stream of messages.
 PeerHandler = Callable[[Member, object], Awaitable[object] | AsyncIterator[object]]
 
-#: Handlers by the type of message that they answer.
+#: Handlers by message type.
 PeerHandlers = dict[type, PeerHandler]
 
 
-#: Sends a frame to the peer that called.
+#: Sends a frame to the calling peer.
 Send = Callable[[Frame], Awaitable[None]]
 
 
@@ -58,7 +58,7 @@
     instance: Instance, handlers: PeerHandlers, connection: ServerConnection
 ) -> None:
     try:
-        async with asyncio.timeout(HANDSHAKE_S):
+        async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
             peer = await greet_dialler(
                 connection,
                 own=instance.member,
@@ -100,7 +100,7 @@
 
 
 async def serve_peers(instance: Instance, handlers: PeerHandlers) -> Server:
-    """Listen for peers and answer their calls with `handlers`."""
+    """Listen for peers and dispatch their calls to `handlers`."""
 
     async def serve_connection(connection: ServerConnection) -> None:
         await _serve_connection(instance, handlers, connection)
@@ -112,5 +112,5 @@
         int(port),
         compression=None,
         ping_interval=None,
-        max_size=MOST_FRAME_BYTES,
+        max_size=MAX_FRAME_BYTES,
     )
--- a/packages/instance/fulmarward/peers/tests/test_codec.py
+++ b/packages/instance/fulmarward/peers/tests/test_codec.py
@@ -17,7 +17,7 @@
         self.assertEqual(decode_message(encode_message(message)), message)
 
     @given(st.binary(max_size=64))
-    def test_any_bytes_are_refused_without_another_error(self, data):
+    def test_arbitrary_bytes_raise_only_message_fault(self, data):
         try:
             decode_message(data)
         except MessageFault:
--- a/packages/instance/fulmarward/peers/tests/test_strangers.py
+++ b/packages/instance/fulmarward/peers/tests/test_strangers.py
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def _serve(accepted):
-    """Run the listening side alone; yields its address and the names that called."""
+    """Run the listening side; yields its address and the names of its callers."""
     address = f"127.0.0.1:{find_ports(1)[0]}"
     called = []
 
@@ -47,10 +47,10 @@
         await server.wait_closed()
 
 
-async def _call(address, name, held):
+async def _call(address, name, secrets):
     links = PeerLinks(
         read_own=lambda: _make_member(name, "127.0.0.1:1"),
-        read_secrets=lambda: held,
+        read_secrets=lambda: secrets,
         count_bytes=lambda direction, number: None,
     )
     try:
@@ -59,11 +59,11 @@
         await links.close()
 
 
-class StrangerTest(unittest.IsolatedAsyncioTestCase):
+class HandshakeTest(unittest.IsolatedAsyncioTestCase):
     async def test_stranger_is_refused_and_logged_without_secrets(self):
-        # Somebody on the network finds the peer port, with a guessed secret, with
-        # plain HTTP or with noise. It gets no call through, and the log names its
-        # address and neither secret.
+        # An outsider connects to the peer port with a guessed secret, plain HTTP or
+        # random bytes. No call may get through, and the log must contain neither
+        # secret.
         async with _serve((b"peer-secret-1",)) as (address, called):
             with self.assertLogs("fulmarward", logging.WARNING) as logs:
                 with self.assertRaises(PeerLost):
@@ -81,8 +81,9 @@
         self.assertNotIn("peer-secret-1", lines)
 
     async def test_secret_is_changed_without_a_gap(self):
-        # In a rotation some instances have the old secret first, some the new one
-        # first, some one of them alone. All who hold the first of the dialler's talk.
+        # During a rotation instances have the old secret first, the new one first, or
+        # only one of them. A dialler has to reach every instance that accepts the
+        # first of its secrets.
         old, new = b"secret-number-1", b"secret-number-2"
         steps = [
             ((old,), (old, new)),
@@ -92,10 +93,10 @@
             ((new,), (new, old)),
             ((new, old), (new,)),
         ]
-        for held, accepted in steps:
-            with self.subTest(held=held, accepted=accepted):
+        for secrets, accepted in steps:
+            with self.subTest(secrets=secrets, accepted=accepted):
                 async with _serve(accepted) as (address, called):
-                    await _call(address, "peer", held)
+                    await _call(address, "peer", secrets)
                     self.assertEqual(called, ["peer"])
         async with _serve((new,)) as (address, called):
             with self.assertRaises(PeerLost):
--- a/packages/instance/fulmarward/shares/__init__.py
+++ b/packages/instance/fulmarward/shares/__init__.py
@@ -1,4 +1,4 @@
-"""Splitting sold shares over instances by what is asked for where."""
+"""Splits each team's rate limit between instances according to demand."""
 
 from fulmarward.shares._split import find_bucket, run_shares
 from fulmarward.shares._spread import answer_demand
--- a/packages/instance/fulmarward/shares/_split.py
+++ b/packages/instance/fulmarward/shares/_split.py
@@ -1,4 +1,4 @@
-"""Keeping this instance's part of each team's share."""
+"""Maintains this instance's part of each team's rate limit as token buckets."""
 
 import asyncio
 
@@ -19,19 +19,19 @@
 from fulmarward_core.declaration import Team
 from fulmarward_core.membership import MemberState
 
-#: Seconds between two splits, and between two messages to peers.
-SPLIT_EVERY_S = 1.0
+#: Seconds between two splits, and minimum seconds between two messages to peers.
+SPLIT_INTERVAL_S = 1.0
 
 
 def _count_members(instance: Instance) -> int:
-    """Return how many instances hand out shares: all that may have callers."""
+    """Return the number of instances that may have callers and so need a part."""
     return sum(
         member.state in (MemberState.ALIVE, MemberState.SUSPECT)
         for member in instance.members.members.values()
     )
 
 
-def _find_part(instance: Instance, name: str) -> float:
+def _compute_part(instance: Instance, name: str) -> float:
     demand = instance.admission.demand
     return split_share(
         own=demand.own.get(name, 0.0),
@@ -41,10 +41,10 @@
 
 
 def find_bucket(instance: Instance, name: str, team: Team) -> Bucket:
-    """Return a team's bucket, which is made when it is first asked for."""
+    """Return a team's token bucket, creating it on first use."""
     buckets = instance.admission.buckets
     if name not in buckets:
-        part = _find_part(instance, name)
+        part = _compute_part(instance, name)
         buckets[name] = make_bucket(
             rate=team.tokens_per_s * part,
             depth=split_burst(team.burst_tokens, part),
@@ -54,7 +54,7 @@
 
 
 def split_shares(instance: Instance) -> None:
-    """Set each bucket to this instance's part; forget teams that are gone."""
+    """Resize each bucket to this instance's part; drop those of removed teams."""
     now = instance.read_clock()
     demand, buckets = instance.admission.demand, instance.admission.buckets
     average_demand(demand, now=now)
@@ -65,7 +65,7 @@
         if team is None:
             del buckets[name]
             continue
-        part = _find_part(instance, name)
+        part = _compute_part(instance, name)
         resize_bucket(
             buckets[name],
             rate=team.tokens_per_s * part,
@@ -75,7 +75,7 @@
 
 
 async def run_shares(instance: Instance, links: PeerLinks) -> None:
-    """Split shares each second, and tell the neighbours in turn."""
+    """Split shares each second, and exchange demand with the neighbours in turn."""
     turn = pause = 0
     while True:
         split_shares(instance)
@@ -84,4 +84,4 @@
             turn += 1
             pause = choose_pause(len(instance.members.members))
         pause -= 1
-        await asyncio.sleep(SPLIT_EVERY_S)
+        await asyncio.sleep(SPLIT_INTERVAL_S)
