--- a/packages/instance/fulmarward/observability/_logs.py
+++ b/packages/instance/fulmarward/observability/_logs.py
@@ -1,4 +1,4 @@
-"""JSON logs: one object a line on standard output, bounded, never waiting."""
+"""JSON-lines logging to standard output, bounded and non-blocking."""
 
 import logging
 import queue
@@ -13,65 +13,65 @@
 
 _LOGGER = logging.getLogger("fulmarward")
 
-#: Lines that may wait for standard output. Load: a reader of the log that stands
-#: still; harm: memory, or an event loop that waits; reason: at about 600 bytes a line
-#: this is under 2 MB.
-MOST_WAITING_LINES = 3_000
+#: Maximum number of lines queued for standard output. When the reader of the log
+#: stalls, a longer queue would take memory and a blocking one would stall the event
+#: loop. At about 600 bytes a line this is under 2 MB.
+MAX_QUEUED_LINES = 3_000
 
-#: Lines a second, and lines saved up for a burst. Load: every request of a storm is
-#: refused; harm: writing lines takes the processor that refusing needs; reason: at 40
-#: microseconds a line this is a fiftieth of a core.
-LINES_A_SECOND = 500.0
-MOST_SAVED_LINES = 1_000.0
+#: Rate limit in lines a second, and burst size in lines. When an overload gets every
+#: request refused, writing log lines must not take the CPU time that refusing needs. At
+#: 40 microseconds a line this is a fiftieth of a core.
+MAX_LINES_PER_S = 500.0
+MAX_BURST_LINES = 1_000.0
 
 
 class _BoundedHandler(QueueHandler):
-    """Hands records to the writing thread, and drops what is over the bounds.
+    """Queues records for the writer thread, and drops those over the limits.
 
-    Warnings and errors pass the rate, so that a storm of lines hides none of them.
+    Warnings and errors are exempt from the rate limit, so that a burst of other lines
+    does not hide them.
     """
 
     def __init__(self, lines: queue.Queue, read_clock: Callable[[], float]) -> None:
         super().__init__(lines)
         self._read_clock = read_clock
-        self._saved = MOST_SAVED_LINES
-        self._counted_at = read_clock()
-        #: Lines dropped since the start.
+        self._tokens = MAX_BURST_LINES
+        self._refilled_at = read_clock()
+        #: Number of lines dropped since the start.
         self.dropped = 0
-        self._told = 0
+        self._reported = 0
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
         return record
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue one record, with the number of lines dropped before it."""
-        if record.levelno < logging.WARNING and not self._take_turn():
+        """Queue a record, with the number of lines dropped since the last one."""
+        if record.levelno < logging.WARNING and not self._take_token():
             self.dropped += 1
             return
-        if self.dropped > self._told:
-            record.lines_dropped = self.dropped - self._told
+        if self.dropped > self._reported:
+            record.lines_dropped = self.dropped - self._reported
         try:
             self.queue.put_nowait(record)
-            self._told = self.dropped
+            self._reported = self.dropped
         except queue.Full:
             self.dropped += 1
 
-    def _take_turn(self) -> bool:
+    def _take_token(self) -> bool:
         now = self._read_clock()
-        earned = (now - self._counted_at) * LINES_A_SECOND
-        self._saved = min(MOST_SAVED_LINES, self._saved + earned)
-        self._counted_at = now
-        if self._saved < 1:
+        earned = (now - self._refilled_at) * MAX_LINES_PER_S
+        self._tokens = min(MAX_BURST_LINES, self._tokens + earned)
+        self._refilled_at = now
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
 
 
 def start_logging(*, instance: str, level: str) -> TraceHandler:
-    """Send the instance's log to standard output as JSON lines.
+    """Log to standard output as JSON lines, written by a separate thread.
 
-    A thread of its own writes them. Returns the handler that keeps the lines of late
-    requests.
+    Returns the handler that keeps the lines of recent requests.
     """
     output = logging.StreamHandler(sys.stdout)
     output.setFormatter(
@@ -82,30 +82,30 @@
             static_fields={"instance": instance},
         )
     )
-    lines: queue.Queue = queue.Queue(MOST_WAITING_LINES)
+    lines: queue.Queue = queue.Queue(MAX_QUEUED_LINES)
     listener = QueueListener(lines, output)
     listener.start()
     traces = TraceHandler()
-    # The writing thread adds to a record as soon as it has it, so it comes last.
+    # The writer thread modifies a record once it is queued, so its handler comes last.
     _LOGGER.handlers = [traces, _BoundedHandler(lines, time.monotonic)]
     _LOGGER.propagate = False
     _LOGGER.setLevel(level.upper())
-    _stop_writing.append(listener.stop)
+    _stop_writers.append(listener.stop)
     return traces
 
 
-#: What ends the writing threads, oldest first.
-_stop_writing: list[Callable[[], None]] = []
+#: Functions that stop the writer threads, oldest first.
+_stop_writers: list[Callable[[], None]] = []
 
 
 def stop_logging() -> None:
-    """Write the lines that still wait and end the writing threads."""
-    while _stop_writing:
-        _stop_writing.pop()()
+    """Write the queued lines and stop the writer threads."""
+    while _stop_writers:
+        _stop_writers.pop()()
 
 
 def count_dropped_lines() -> int:
-    """Return how many lines were dropped since the start."""
+    """Return the number of lines dropped since the start."""
     handlers = [h for h in _LOGGER.handlers if isinstance(h, _BoundedHandler)]
     return sum(handler.dropped for handler in handlers)
 
@@ -115,8 +115,8 @@
     *,
     level: int = logging.INFO,
     exc_info: BaseException | None = None,
-    **members: object,
+    **fields: object,
 ) -> None:
-    """Write one log line: what happened, and what is needed to understand it."""
+    """Log one event with its fields."""
     if _LOGGER.isEnabledFor(level):
-        _LOGGER.log(level, event, extra=members, exc_info=exc_info)
+        _LOGGER.log(level, event, extra=fields, exc_info=exc_info)
--- a/packages/instance/fulmarward/observability/_metrics.py
+++ b/packages/instance/fulmarward/observability/_metrics.py
@@ -5,7 +5,7 @@
 
 from aioprometheus import REGISTRY, Counter, Gauge, Histogram, Registry
 
-#: Bounds of the latency histograms, in seconds.
+#: Bucket bounds of the latency histograms, in seconds.
 LATENCY_BUCKETS_S = [0.005, 0.01, 0.03, 0.1, 0.3, 1.0, 1.6, 3.0, 10.0, 30.0, inf]
 
 
@@ -13,35 +13,35 @@
 class Metrics:
     """The metrics of one instance."""
 
-    #: What `/metrics` renders.
+    #: The registry that `/metrics` renders.
     registry: Registry
     #: Requests by `kind` and `result`.
     requests: Counter
     #: Decisions by `kind` and `reason`.
     decisions: Counter
-    #: Events of targets dropped, by `reason`.
+    #: Dropped target events by `reason`.
     dropped: Counter
-    #: Control messages by `kind` and `direction`.
+    #: Messages between peers by `kind` and `direction`.
     control_messages: Counter
-    #: Control bytes by `direction`.
+    #: Bytes between peers by `direction`.
     control_bytes: Counter
-    #: Requests open now.
+    #: Currently open requests.
     open_requests: Gauge
-    #: The configuration epoch in force.
+    #: The active configuration epoch.
     epoch: Gauge
-    #: Seconds to the first token.
+    #: Seconds from acceptance to the first token.
     first_token: Histogram
-    #: Seconds from acceptance to the end.
+    #: Seconds from acceptance to the end of the answer.
     whole: Histogram
 
 
 @dataclass(frozen=True, kw_only=True)
 class MetricMaker:
-    """Makes metrics of one process, each under the product's prefix."""
+    """Creates the metrics of one process under the prefix `fulmarward_`."""
 
-    #: Where they are registered.
+    #: The registry of all created metrics.
     registry: Registry
-    #: Bounds of the histograms, in seconds.
+    #: Bucket bounds of the histograms, in seconds.
     buckets_s: list[float]
 
     def count(self, name: str, text: str) -> Counter:
@@ -60,13 +60,13 @@
 
 
 def make_metric_maker(buckets_s: list[float]) -> MetricMaker:
-    """Return a maker with a registry of its own."""
+    """Return a factory with its own registry."""
     REGISTRY.clear()
     return MetricMaker(registry=Registry(), buckets_s=buckets_s)
 
 
 def make_metrics() -> Metrics:
-    """Return fresh metrics with their own registry."""
+    """Return the metrics of an instance in a new registry."""
     make = make_metric_maker(LATENCY_BUCKETS_S)
     return Metrics(
         registry=make.registry,
@@ -85,6 +85,6 @@
 
 
 def count_frame(metrics: Metrics, direction: str, size: int) -> None:
-    """Count one frame between peers, of `size` bytes."""
+    """Count one peer frame of `size` bytes."""
     metrics.control_bytes.add({"direction": direction}, size)
     metrics.control_messages.add({"kind": "frame", "direction": direction}, 1)
--- a/packages/instance/fulmarward/observability/_traces.py
+++ b/packages/instance/fulmarward/observability/_traces.py
@@ -1,41 +1,47 @@
-"""The decisions of late requests, kept for the operator who asks about one."""
+"""Keeps the log lines of recent requests, for operators to query by request id."""
 
 import logging
 from collections import OrderedDict
 
-#: Requests whose lines are kept. Load: 24 requests/s; harm: memory; reason: at
-#: about 1 KB a request this is a minute and a half of them in 2 MB.
-MOST_REQUESTS = 2_000
+#: Maximum number of requests whose lines are kept: at 24 requests/s and about 1 KB a
+#: request, a minute and a half of requests in 2 MB of memory.
+MAX_REQUESTS = 2_000
 
-#: Lines kept of one request. Harm: a request that is tried again and again.
-MOST_LINES = 50
+#: Maximum number of lines kept for one request, which may be retried many times.
+MAX_LINES_PER_REQUEST = 50
 
-#: Members of a log record that are not the event's own.
-_STANDARD = set(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
+#: Standard attributes of a log record, which are not fields of the event.
+_STANDARD_ATTRIBUTES = set(vars(logging.makeLogRecord({}))) | {
+    "message",
+    "asctime",
+    "taskName",
+}
 
 
 class TraceHandler(logging.Handler):
-    """Keeps the log lines that carry a request's id, the newest requests only."""
+    """Keeps the log lines that have a request id, for the most recent requests."""
 
     def __init__(self) -> None:
         super().__init__()
         self._lines: OrderedDict[str, list[dict[str, object]]] = OrderedDict()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep one line."""
-        members = {
-            name: value for name, value in vars(record).items() if name not in _STANDARD
+        """Store the record if it belongs to a request."""
+        fields = {
+            name: value
+            for name, value in vars(record).items()
+            if name not in _STANDARD_ATTRIBUTES
         }
-        request = members.get("request")
+        request = fields.get("request")
         if not isinstance(request, str):
             return
         lines = self._lines.setdefault(request, [])
-        if len(lines) < MOST_LINES:
+        if len(lines) < MAX_LINES_PER_REQUEST:
             at = round(record.created, 3)
-            lines.append({"at": at, "event": record.getMessage(), **members})
-        while len(self._lines) > MOST_REQUESTS:
+            lines.append({"at": at, "event": record.getMessage(), **fields})
+        while len(self._lines) > MAX_REQUESTS:
             self._lines.popitem(last=False)
 
     def read_lines(self, request: str) -> list[dict[str, object]]:
-        """Return what is kept of a request, oldest first; empty if nothing is."""
+        """Return the lines kept for a request, oldest first."""
         return list(self._lines.get(request, ()))
--- a/packages/instance/fulmarward/observability/tests/test_traces.py
+++ b/packages/instance/fulmarward/observability/tests/test_traces.py
@@ -2,16 +2,16 @@
 import unittest
 
 from fulmarward.observability import TraceHandler
-from fulmarward.observability._traces import MOST_LINES, MOST_REQUESTS
+from fulmarward.observability._traces import MAX_LINES_PER_REQUEST, MAX_REQUESTS
 
 
-def _make_record(request, **members):
-    values = {"msg": "route", "created": 1.5, "request": request, **members}
+def _make_record(request, **fields):
+    values = {"msg": "route", "created": 1.5, "request": request, **fields}
     return logging.makeLogRecord(values)
 
 
 class TraceHandlerTest(unittest.TestCase):
-    def test_lines_of_a_request_are_kept_with_what_decided(self):
+    def test_lines_of_a_request_are_kept_with_their_fields(self):
         traces = TraceHandler()
         traces.emit(_make_record("r1", chosen="e1", reason="lower_score"))
         traces.emit(_make_record("r2", chosen="e2"))
@@ -27,9 +27,9 @@
 
     def test_memory_is_bounded(self):
         traces = TraceHandler()
-        for number in range(MOST_REQUESTS + 10):
+        for number in range(MAX_REQUESTS + 10):
             traces.emit(_make_record(f"r{number}"))
-        for _ in range(MOST_LINES + 10):
+        for _ in range(MAX_LINES_PER_REQUEST + 10):
             traces.emit(_make_record("last"))
         self.assertEqual(traces.read_lines("r0"), [])
-        self.assertEqual(len(traces.read_lines("last")), MOST_LINES)
+        self.assertEqual(len(traces.read_lines("last")), MAX_LINES_PER_REQUEST)
--- a/packages/instance/fulmarward/settings/__init__.py
+++ b/packages/instance/fulmarward/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of an instance: one JSON file, checked as a whole at the start."""
+"""The settings of an instance: one JSON file, validated as a whole at startup."""
 
 from fulmarward.settings._load import load_settings, parse_settings, show_settings
 from fulmarward.settings._secrets import Secrets, load_secrets
--- a/packages/instance/fulmarward/settings/_load.py
+++ b/packages/instance/fulmarward/settings/_load.py
@@ -1,4 +1,4 @@
-"""Reading the settings file."""
+"""Parses and validates the settings file."""
 
 import dataclasses
 import json
@@ -18,8 +18,8 @@
     read_whole,
 )
 
-#: Largest value of any limit.
-MOST = 1_000_000_000
+#: Maximum value of any limit.
+MAX_LIMIT = 1_000_000_000
 
 _NAME = read_text(
     pattern=r"[a-z0-9][a-z0-9._-]{0,62}",
@@ -34,7 +34,9 @@
 _READ_LIMITS = read_record(
     Limits,
     {
-        limit.name: Field(read=read_whole(least=1, most=MOST), default=limit.default)
+        limit.name: Field(
+            read=read_whole(least=1, most=MAX_LIMIT), default=limit.default
+        )
         for limit in dataclasses.fields(Limits)
     },
 )
@@ -61,14 +63,14 @@
 
 
 def parse_settings(value: object) -> InstanceSettings | tuple[Fault, ...]:
-    """Return the settings in the JSON `value`, or every fault they have."""
+    """Return the settings in the JSON `value`, or all faults found in it."""
     faults: list[Fault] = []
     settings = _READ_SETTINGS(value, "", faults)
     return tuple(faults) if faults else settings
 
 
 def load_settings(path: str) -> InstanceSettings | tuple[Fault, ...]:
-    """Return the settings in the file at `path`, or every fault they have."""
+    """Return the settings in the file at `path`, or all faults found in it."""
     try:
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -80,5 +82,5 @@
 
 
 def show_settings(settings: InstanceSettings) -> str:
-    """Return the settings in force as JSON. Secrets stand in files, never here."""
+    """Return the effective settings as JSON; secrets are in files of their own."""
     return json.dumps(dataclasses.asdict(settings), indent=2)
--- a/packages/instance/fulmarward/settings/_secrets.py
+++ b/packages/instance/fulmarward/settings/_secrets.py
@@ -1,4 +1,4 @@
-"""Reading the files that hold secrets; they can be changed while running."""
+"""Reads the secret files, which may change while the instance is running."""
 
 import hashlib
 import hmac
@@ -8,27 +8,27 @@
 from fulmarward.settings._types import InstanceSettings
 from fulmarward_core.checks import Fault
 
-#: Shortest secret taken, in characters.
-LEAST_SECRET_CHARACTERS = 8
+#: Minimum length of a secret in characters.
+MIN_SECRET_LENGTH = 8
 
 
 @dataclass(frozen=True, kw_only=True)
 class Secrets:
-    """The secrets of an instance, never shown or logged."""
+    """The secrets of an instance, which are never shown or logged."""
 
-    #: Token for the platform.
+    #: Token for calls to the platform.
     platform_token: str
-    #: Operator tokens that are accepted.
+    #: Accepted operator tokens.
     operator_tokens: tuple[str, ...]
-    #: Peer secrets: the first signs, all are accepted.
+    #: Peer secrets: the first one signs, all are accepted.
     peer_secrets: tuple[bytes, ...]
 
     def derive_key(self, purpose: str) -> bytes:
-        """Return the key of the whole fleet for one purpose."""
+        """Return the fleet-wide signing key for one purpose."""
         return self.derive_keys(purpose)[0]
 
     def derive_keys(self, purpose: str) -> tuple[bytes, ...]:
-        """Return the keys of all accepted secrets, the one that signs first."""
+        """Return the keys derived from all accepted secrets, the signing key first."""
         return tuple(
             hmac.new(secret, purpose.encode(), hashlib.sha256).digest()
             for secret in self.peer_secrets
@@ -41,16 +41,16 @@
     except (OSError, UnicodeDecodeError) as error:
         faults.append(Fault(where=where, expected="a readable file", found=str(error)))
         return ()
-    expected = f"lines of at least {LEAST_SECRET_CHARACTERS} characters each"
+    expected = f"lines of at least {MIN_SECRET_LENGTH} characters each"
     if not lines:
         faults.append(Fault(where=where, expected=expected, found="an empty file"))
-    if any(len(line) < LEAST_SECRET_CHARACTERS for line in lines):
+    if any(len(line) < MIN_SECRET_LENGTH for line in lines):
         faults.append(Fault(where=where, expected=expected, found="a shorter line"))
     return tuple(lines)
 
 
 def load_secrets(settings: InstanceSettings) -> Secrets | tuple[Fault, ...]:
-    """Return the secrets that the settings name, or every fault they have."""
+    """Return the secrets from the files in the settings, or all faults found."""
     faults: list[Fault] = []
     platform = _read_lines(settings.platform_token_file, "platform_token_file", faults)
     operators = _read_lines(
--- a/packages/instance/fulmarward/settings/_types.py
+++ b/packages/instance/fulmarward/settings/_types.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TlsFiles:
-    """The files of a certificate, in PEM."""
+    """PEM files of a TLS certificate."""
 
     #: Path of the certificate chain.
     certificate_file: str
@@ -15,36 +15,36 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Limits:
-    """Bounds that protect an instance. Each says load, harm and reason."""
+    """Resource limits and timeouts of an instance."""
 
-    #: Largest body of a call in bytes. Harm: one caller takes the memory of all.
+    #: Maximum request body in bytes, so that one caller cannot take all memory.
     body_bytes: int = 2_000_000
-    #: Time a body may take to arrive, milliseconds. Harm: slow senders pile up.
+    #: Milliseconds for a request body to arrive, so that slow senders don't pile up.
     body_ms: int = 10_000
-    #: Requests open at once. Load: 24 requests/s for each of 330 instances, answers
-    #: of some seconds; harm: memory past 256 MB; reason: ten times that load.
+    #: Maximum number of open requests: ten times the load of 24 requests/s for each of
+    #: 330 instances, with answers of some seconds. More could take over 256 MB.
     open_requests: int = 2_000
-    #: Time an answer without readers waits for its caller, milliseconds.
+    #: Milliseconds for which an answer without readers waits for its caller.
     linger_ms: int = 5_000
-    #: Time a finished answer is kept for a repeat, milliseconds.
+    #: Milliseconds for which a finished answer is kept for a repeated request.
     keep_ms: int = 60_000
-    #: Time that open requests have to end after a stop, milliseconds.
+    #: Milliseconds for which a stopping instance waits for open requests.
     stop_ms: int = 60_000
-    #: Time to make a connection to a target, milliseconds.
+    #: Timeout of a connection attempt to a target, milliseconds.
     connect_ms: int = 1_000
-    #: Time the platform has for one call, milliseconds.
+    #: Timeout of one call to the platform, milliseconds.
     platform_ms: int = 2_000
-    #: Term of a lease, milliseconds. Load: a holder that dies; harm: placement stands
-    #: still that long, or the table is written more often; reason: four pools renewed
-    #: each third of it are about one write a second.
+    #: Lease term in milliseconds. After a holder dies, placement stops for that long; a
+    #: shorter term means more writes to the table. Four pools renewed each third of the
+    #: term make about one write a second.
     lease_ms: int = 10_000
-    #: Longest flight of an order to an engine, milliseconds. Harm: a successor waits
-    #: as long before it sends orders to engines that ignore fencing numbers.
+    #: Maximum time in flight of an order to an engine, milliseconds. A new lease holder
+    #: waits as long before it sends orders if any engine ignores fencing numbers.
     order_ms: int = 5_000
-    #: How long callers keep a discovery answer, milliseconds.
+    #: Milliseconds for which callers cache a discovery answer.
     discovery_ms: int = 5_000
-    #: How long an idempotency key is taken for a new request, milliseconds. Harm: an
-    #: entry is kept for each key this long; reason: past any caller's retries.
+    #: Milliseconds for which an idempotency key identifies its request. It has to outlast
+    #: any caller's retries, and an entry is kept in memory for each key this long.
     key_ms: int = 600_000
 
 
@@ -52,29 +52,29 @@
 class InstanceSettings:
     """All settings of one instance."""
 
-    #: The instance's name, unlike any other instance's.
+    #: The instance's unique name.
     name: str
     #: Name of its data centre.
     data_centre: str
-    #: Where callers reach it, `IP:PORT`.
+    #: Address that callers connect to, `IP:PORT`.
     caller_address: str
-    #: Where operators reach it, `IP:PORT`.
+    #: Address that operators connect to, `IP:PORT`.
     operator_address: str
-    #: Where peers reach it, `IP:PORT`.
+    #: Address that peers connect to, `IP:PORT`.
     peer_address: str
-    #: Where the platform's service is, `IP:PORT`.
+    #: Address of the platform's service, `IP:PORT`.
     platform_address: str
-    #: File with the token for the platform.
+    #: File with the token for calls to the platform.
     platform_token_file: str
-    #: File with operator tokens, one a line.
+    #: File with operator tokens, one per line.
     operator_tokens_file: str
-    #: File with peer secrets, one a line: the first signs, all are accepted.
+    #: File with peer secrets, one per line: the first one signs, all are accepted.
     peer_secrets_file: str
-    #: Peer addresses to try while the platform's list cannot be read.
+    #: Peer addresses to contact even if the platform's list cannot be read.
     seed_peers: tuple[str, ...]
-    #: TLS towards callers and operators, or `None` for plain HTTP.
+    #: TLS files for the listeners of callers and operators; `None` for plain HTTP.
     tls: TlsFiles | None
-    #: Level of the log: `debug`, `info`, `warning` or `error`.
+    #: Log level: `debug`, `info`, `warning` or `error`.
     log_level: str
-    #: The bounds.
+    #: Resource limits and timeouts.
     limits: Limits
--- a/packages/instance/fulmarward/settings/tests/test_load.py
+++ b/packages/instance/fulmarward/settings/tests/test_load.py
@@ -7,7 +7,7 @@
 
 from fulmarward.settings import InstanceSettings, parse_settings
 
-RIGHT = {
+_VALID_SETTINGS = {
     "name": "i1",
     "data_centre": "lx-alcantara",
     "caller_address": "127.0.0.1:8000",
@@ -21,10 +21,10 @@
 
 
 class ParseSettingsTest(unittest.TestCase):
-    def test_right_settings_are_parsed(self):
-        self.assertIsInstance(parse_settings(RIGHT), InstanceSettings)
+    def test_valid_settings_are_parsed(self):
+        self.assertIsInstance(parse_settings(_VALID_SETTINGS), InstanceSettings)
 
-    def test_wrong_member_is_named(self):
+    def test_invalid_member_is_named(self):
         cases = [
             ("name", "A B", "name"),
             ("caller_address", "host:80", "caller_address"),
@@ -37,7 +37,7 @@
         ]
         for member, value, where in cases:
             with self.subTest(member=member, value=value):
-                (fault,) = parse_settings(RIGHT | {member: value})
+                (fault,) = parse_settings(_VALID_SETTINGS | {member: value})
                 self.assertEqual(fault.where, where)
 
 
@@ -46,10 +46,10 @@
         command = [sys.executable, "-m", "fulmarward", *arguments]
         return subprocess.run(command, capture_output=True, text=True, check=False)
 
-    def test_wrong_settings_are_refused_at_start(self):
+    def test_invalid_settings_are_refused_at_start(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "i1.json"
-            path.write_text(json.dumps(RIGHT | {"colour": 1, "name": ""}))
+            path.write_text(json.dumps(_VALID_SETTINGS | {"colour": 1, "name": ""}))
             result = self._run("start", str(path))
         self.assertEqual(result.returncode, 3)
         self.assertIn("colour: expected no member but", result.stderr)
@@ -58,7 +58,7 @@
     def test_missing_secret_files_are_named_at_start(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "i1.json"
-            path.write_text(json.dumps(RIGHT))
+            path.write_text(json.dumps(_VALID_SETTINGS))
             result = self._run("start", str(path))
         self.assertEqual(result.returncode, 3)
         for where in (
@@ -68,10 +68,10 @@
         ):
             self.assertIn(f"{where}: expected a readable file", result.stderr)
 
-    def test_settings_in_force_are_printed_with_their_defaults(self):
+    def test_effective_settings_are_printed_with_their_defaults(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "i1.json"
-            path.write_text(json.dumps(RIGHT))
+            path.write_text(json.dumps(_VALID_SETTINGS))
             result = self._run("settings", str(path))
         self.assertEqual(result.returncode, 0)
         self.assertEqual(json.loads(result.stdout)["limits"]["body_bytes"], 2_000_000)
