--- a/packages/instance/fulmarward/__init__.py
+++ b/packages/instance/fulmarward/__init__.py
@@ -1,1 +1,1 @@
-"""The instance daemon of fulmarward: every instance is alike and keeps nothing."""
+"""The instance daemon of fulmarward: identical instances without persistent state."""
--- a/packages/instance/fulmarward/__main__.py
+++ b/packages/instance/fulmarward/__main__.py
@@ -11,8 +11,8 @@
 from fulmarward_core.command_line import defer, run_command_line
 from fulmarward_core.results import CODES, ResultCode
 
-#: Exit status of a daemon that stopped because one of its duties failed.
-DUTY_FAILED_STATUS = 1
+#: Exit status of a daemon that stopped because a background task failed.
+TASK_FAILED_STATUS = 1
 
 
 def _exit_with_faults(faults: tuple) -> None:
@@ -32,7 +32,7 @@
     has_ended_well = asyncio.run(run_daemon(loaded, secrets))
     stop_logging()
     if not has_ended_well:
-        sys.exit(DUTY_FAILED_STATUS)
+        sys.exit(TASK_FAILED_STATUS)
 
 
 @defer
--- a/packages/instance/fulmarward/_daemon.py
+++ b/packages/instance/fulmarward/_daemon.py
@@ -1,4 +1,4 @@
-"""Assembling an instance from its settings and running it until it is stopped."""
+"""Assembles an instance from its settings and runs it until it is stopped."""
 
 import asyncio
 import logging
@@ -91,14 +91,14 @@
     merge_member,
 )
 
-#: Connections to targets kept open, for all of them together.
-MOST_CONNECTIONS = 10_000
+#: Maximum number of open connections to all targets together.
+MAX_CONNECTIONS = 10_000
 
-#: Seconds between two looks whether the last open request has ended.
-STOP_LOOK_S = 0.05
+#: Seconds between two checks for open requests during a stop.
+STOP_CHECK_INTERVAL_S = 0.05
 
-#: Seconds in which peers and callers hear that this instance is leaving, before it
-#: refuses new work. It is one heartbeat and a little.
+#: Seconds for peers and callers to learn that this instance is leaving, before it
+#: refuses new requests: a little more than one heartbeat interval.
 LEAVING_NOTICE_S = 1.5
 
 
@@ -111,7 +111,7 @@
 
 
 def _count_alive(table: MemberTable) -> int:
-    """Return how many instances share the platform, this one included."""
+    """Return the number of live instances, including this one."""
     states = [member.state for member in table.members.values()]
     return states.count(MemberState.ALIVE)
 
@@ -122,7 +122,7 @@
     session: aiohttp.ClientSession,
     traces: TraceHandler,
 ) -> Instance:
-    """Return the state of a fresh instance. Needs a running event loop."""
+    """Return the state of a new instance; requires a running event loop."""
     member = Member(
         name=settings.name,
         boot=int(time.time() * 1000),
@@ -208,43 +208,44 @@
     return runner
 
 
-async def _stop_gracefully(instance: Instance, hurried: asyncio.Event) -> None:
-    """Announce the stop, then let every open request end."""
+async def _stop_gracefully(instance: Instance, expedited: asyncio.Event) -> None:
+    """Announce the stop, then wait for open requests until `stop_ms` has passed."""
     announce_leaving(instance)
     log_event("stopping", open_requests=len(instance.answers))
-    await _wait_or_hurry(hurried, LEAVING_NOTICE_S)
+    await _wait_unless_expedited(expedited, LEAVING_NOTICE_S)
     instance.lifecycle.begin_stop()
     deadline = instance.read_clock() + instance.settings.limits.stop_ms / 1000
     while list_open(instance) and instance.read_clock() < deadline:
-        if hurried.is_set():
+        if expedited.is_set():
             break
-        await asyncio.sleep(STOP_LOOK_S)
+        await asyncio.sleep(STOP_CHECK_INTERVAL_S)
     cut_off = len(list_open(instance))
     instance.lifecycle.finish_stop()
     await end_open(instance)
     log_event("stopped", cut_off=cut_off)
 
 
-async def _wait_or_hurry(hurried: asyncio.Event, seconds: float) -> None:
+async def _wait_unless_expedited(expedited: asyncio.Event, seconds: float) -> None:
     try:
         async with asyncio.timeout(seconds):
-            await hurried.wait()
+            await expedited.wait()
     except TimeoutError:
         return
 
 
 async def run_daemon(settings: InstanceSettings, secrets: Secrets) -> bool:
-    """Run an instance until SIGTERM or SIGINT; a second signal hurries it.
+    """Run an instance until SIGTERM, SIGINT or an operator's drain.
 
-    Returns whether it ended because it was told to, and not because a duty failed.
+    A signal during the stop ends it without waiting for open requests. Returns whether
+    the stop was requested, and not caused by a background task that failed.
     """
     traces = start_logging(instance=settings.name, level=settings.log_level)
-    connector = aiohttp.TCPConnector(limit=MOST_CONNECTIONS)
+    connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS)
     async with aiohttp.ClientSession(connector=connector) as session:
         instance = make_instance(settings, secrets, session, traces)
         links = instance.links = _make_links(instance)
-        stop, hurried = instance.stop_asked, asyncio.Event()
-        _watch_signals(stop, hurried)
+        stop, expedited = instance.stop_asked, asyncio.Event()
+        _watch_signals(stop, expedited)
         server = await serve_peers(instance, _make_handlers(instance, links))
         runners = [
             await _listen(instance, make_caller_app(instance), settings.caller_address),
@@ -253,24 +254,24 @@
             ),
         ]
         log_event("started", boot=instance.member.boot)
-        duties = [
-            _start_duty("membership", run_membership(instance, links), stop),
-            _start_duty("adoption", run_adoption(instance, links), stop),
-            _start_duty("targets", follow_targets(instance), stop),
-            _start_duty("gossip", run_gossip(instance, links), stop),
-            _start_duty("summaries", run_summaries(instance), stop),
-            _start_duty("drains", watch_drains(instance), stop),
-            _start_duty("secrets", watch_secrets(instance), stop),
-            _start_duty("placement", run_placement(instance, links), stop),
-            _start_duty("claims", sweep_claims(instance), stop),
-            _start_duty("readiness", run_readiness(instance, links), stop),
-            _start_duty("shares", run_shares(instance, links), stop),
-            _start_duty("admission", run_admission(instance), stop),
+        tasks = [
+            _start_task("membership", run_membership(instance, links), stop),
+            _start_task("adoption", run_adoption(instance, links), stop),
+            _start_task("targets", follow_targets(instance), stop),
+            _start_task("gossip", run_gossip(instance, links), stop),
+            _start_task("summaries", run_summaries(instance), stop),
+            _start_task("drains", watch_drains(instance), stop),
+            _start_task("secrets", watch_secrets(instance), stop),
+            _start_task("placement", run_placement(instance, links), stop),
+            _start_task("claims", sweep_claims(instance), stop),
+            _start_task("readiness", run_readiness(instance, links), stop),
+            _start_task("shares", run_shares(instance, links), stop),
+            _start_task("admission", run_admission(instance), stop),
         ]
         await stop.wait()
-        await _stop_gracefully(instance, hurried)
-        has_failed = any(task.done() and task.exception() for task in duties)
-        for task in [*duties, *instance.tasks]:
+        await _stop_gracefully(instance, expedited)
+        has_failed = any(task.done() and task.exception() for task in tasks)
+        for task in [*tasks, *instance.tasks]:
             task.cancel()
         for runner in runners:
             await runner.cleanup()
@@ -280,12 +281,15 @@
         return not has_failed
 
 
-def _start_duty(
-    name: str, duty: Coroutine[None, None, None], stop: asyncio.Event
+def _start_task(
+    name: str, coroutine: Coroutine[None, None, None], stop: asyncio.Event
 ) -> asyncio.Task:
-    """Start a duty. An instance whose duty has failed stops: half of one misleads."""
+    """Start a background task; if it fails, the whole instance stops.
 
-    def note_end(task: asyncio.Task) -> None:
+    An instance that runs only part of its tasks would mislead peers and callers.
+    """
+
+    def handle_end(task: asyncio.Task) -> None:
         if not task.cancelled() and task.exception() is not None:
             log_event(
                 "duty_failed",
@@ -295,17 +299,17 @@
             )
             stop.set()
 
-    task = asyncio.create_task(duty, name=name)
-    task.add_done_callback(note_end)
+    task = asyncio.create_task(coroutine, name=name)
+    task.add_done_callback(handle_end)
     return task
 
 
-def _watch_signals(stop: asyncio.Event, hurried: asyncio.Event) -> None:
-    def take_signal() -> None:
+def _watch_signals(stop: asyncio.Event, expedited: asyncio.Event) -> None:
+    def handle_signal() -> None:
         if stop.is_set():
-            hurried.set()
+            expedited.set()
         stop.set()
 
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, take_signal)
+        loop.add_signal_handler(number, handle_signal)
--- a/packages/instance/fulmarward/_instance.py
+++ b/packages/instance/fulmarward/_instance.py
@@ -28,131 +28,132 @@
     from fulmarward.keys import PendingClaim
     from fulmarward.peers import PeerLinks
 
-#: Seconds without a tick after which an instance was paused. Load: ticks each half
-#: second; harm: a woken instance serves by an old file; reason: within three seconds
-#: a change need not be in force yet, and a busy event loop is rarely this late.
+#: Seconds without a tick after which the instance counts as having been paused. An
+#: instance that resumes could serve by an outdated configuration. Ticks come each half
+#: second; within three seconds a change need not be active yet, and a busy event loop
+#: is rarely this late.
 PAUSE_S = 3.0
 
 
 def read_pause_clock() -> float:
-    """Return a steady clock that goes on while the whole machine is suspended."""
+    """Return a monotonic clock that also advances while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(kw_only=True)
 class Instance:
-    """Everything that the tasks of one instance share."""
+    """The shared state of the tasks of one instance."""
 
-    #: The settings in force.
+    #: The effective settings.
     settings: InstanceSettings
-    #: The secrets in force; replaced when the files change.
+    #: The current secrets; replaced when the files change.
     secrets: Secrets
-    #: The steady clock, seconds from an arbitrary start.
+    #: The monotonic clock, in seconds from an arbitrary start.
     read_clock: Callable[[], float]
-    #: The wall clock, seconds since 1970.
+    #: The wall clock, in seconds since 1970.
     read_wall_clock: Callable[[], float]
-    #: The random numbers that decisions draw from.
+    #: The random generator for decisions.
     generator: random.Random
-    #: The HTTP client towards targets.
+    #: The HTTP client for targets.
     session: aiohttp.ClientSession
-    #: The platform.
+    #: The client of the platform.
     platform: Platform
-    #: Metrics.
+    #: The metrics that `/metrics` exports.
     metrics: Metrics
-    #: The log lines of late requests.
+    #: The log lines of recent requests.
     traces: TraceHandler
-    #: Starting, serving, stopping or stopped.
+    #: The state machine from starting to stopped.
     lifecycle: Lifecycle
-    #: What this instance says of itself.
+    #: This instance's own member record.
     member: Member
-    #: All members it knows.
+    #: All known members.
     members: MemberTable
-    #: The configuration in force, `EMPTY_SNAPSHOT` before the first.
+    #: The active configuration; `EMPTY_SNAPSHOT` before the first.
     snapshot: Snapshot
-    #: The manifest and parts in force by content hash, for peers and operators.
+    #: The active manifest and parts by content hash, for peers and operators.
     bodies: dict[str, bytes] = field(default_factory=dict)
     #: Set and replaced each time the snapshot changes.
     snapshot_changed: asyncio.Event = field(default_factory=asyncio.Event)
     #: Followed targets by name.
     views: dict[str, TargetView] = field(default_factory=dict)
-    #: How long steps of layer pipelines take here, by target.
+    #: Observed step times of layer pipelines, by target.
     step_times: StepTimes = field(default_factory=StepTimes)
-    #: Answers by request id, running and lately finished.
+    #: Running and recently finished answers by request id.
     answers: dict[str, Answer] = field(default_factory=dict)
-    #: Tasks that outlive the call that began them.
+    #: Tasks that outlive the call that started them.
     tasks: set[asyncio.Task] = field(default_factory=set)
-    #: Those of them that tell engines to end work.
+    #: The subset of `tasks` that tell engines to cancel work.
     closing: set[asyncio.Task] = field(default_factory=set)
-    #: TLS towards callers and operators.
+    #: TLS for the listeners of callers and operators.
     tls: ssl.SSLContext | None = None
-    #: Teams by the digest of each of their keys, as old as the snapshot.
+    #: Teams of the snapshot by the digest of each of their keys.
     teams_by_digest: dict[str, str] = field(default_factory=dict)
-    #: The highest configuration epoch heard of.
+    #: The highest configuration epoch known to exist.
     known_epoch: int = 0
-    #: Set when a peer told of a newer epoch.
+    #: Set when a newer epoch becomes known.
     epoch_heard: asyncio.Event = field(default_factory=asyncio.Event)
-    #: Address of the peer that told of it, empty when it was no peer.
+    #: Address of the peer that reported it; empty if it was not a peer.
     epoch_teller: str = ""
-    #: The clock by which pauses are noticed.
+    #: The clock by which pauses are detected.
     read_pause_clock: Callable[[], float] = read_pause_clock
-    #: When the last tick was, on that clock; `None` before the first.
+    #: Time of the last tick on that clock; `None` before the first.
     ticked_at: float | None = None
-    #: How often this instance was paused.
+    #: Number of detected pauses.
     pauses: int = 0
-    #: Neighbours in the ring, near ones first, and the table's revision they fit.
+    #: Ring neighbours, near ones first, and the table revision they were computed from.
     neighbours: list[str] = field(default_factory=list)
     neighbours_revision: int = -1
-    #: Set when the first round of greeting peers is over.
+    #: Set when the first round of contacting peers is over.
     met_peers: asyncio.Event = field(default_factory=asyncio.Event)
-    #: Set and replaced when there is news that neighbours should hear at once.
+    #: Set and replaced when an update should be sent to the neighbours at once.
     news_stirred: asyncio.Event = field(default_factory=asyncio.Event)
-    #: Set when the instance is to stop.
+    #: Set when the instance should stop.
     stop_asked: asyncio.Event = field(default_factory=asyncio.Event)
 
-    #: What is known of targets that leave.
+    #: Records of leaving targets.
     leaving: LeavingTable = field(default_factory=LeavingTable)
-    #: Leaving records that neighbours have still to hear, and set when there are any.
+    #: Leaving records not yet sent to neighbours, and an event set when there are any.
     unsent_news: list[LeavingRecord] = field(default_factory=list)
     news_came: asyncio.Event = field(default_factory=asyncio.Event)
-    #: What became of attempts, by model and version.
+    #: Outcome counts of attempts, by model and version.
     outcomes: OutcomeWindow = field(default_factory=OutcomeWindow)
-    #: Set when the first views of targets are made.
+    #: Set when the first target views exist.
     targets_known: asyncio.Event = field(default_factory=asyncio.Event)
-    #: Set to have a followed target's report read at once, by target.
+    #: Events that trigger an immediate read of a followed target's report, by target.
     report_hurries: dict[str, asyncio.Event] = field(default_factory=dict)
-    #: Summaries by pool (model) and data centre, with the version of each and what
-    #: each peer has of them.
+    #: Summaries by pool (model) and data centre, with the version of each and the
+    #: versions that each peer has.
     summaries: dict[PoolKey, PoolSummary] = field(default_factory=dict)
     summary_versions: dict[PoolKey, int] = field(default_factory=dict)
     summaries_sent: dict[str, dict[PoolKey, int]] = field(default_factory=dict)
 
-    #: Claims of invented keys that wait for the platform, and the task that writes.
+    #: Claims of generated keys to be written to the platform, and the writing task.
     waiting_claims: "list[PendingClaim]" = field(default_factory=list)
     claim_writer: asyncio.Task | None = None
-    #: Claims that stand in the table, by row, as far as met here lately.
+    #: Recently seen claims of the platform's table, by row.
     known_claims: dict[str, ClaimRow] = field(default_factory=dict)
-    #: Links to peers; `None` only in tests of single tasks.
+    #: Links to peers; `None` only in unit tests of single tasks.
     links: "PeerLinks | None" = None
-    #: Idempotency keys that this instance is the home of.
+    #: Idempotency keys for which this instance is the home.
     key_table: KeyTable = field(default_factory=KeyTable)
-    #: Idempotency keys that this instance is the witness of.
+    #: Idempotency keys for which this instance is the witness.
     witness_table: WitnessTable = field(default_factory=WitnessTable)
-    #: What waits and runs, and what is left of each team's share.
+    #: Waiting and running requests, and the remaining share of each team.
     admission: AdmissionState = field(default_factory=AdmissionState)
 
     def keep_task(self, task: asyncio.Task) -> None:
-        """Hold a task until it ends; the event loop itself holds none."""
+        """Keep a reference to a task until it ends; the event loop keeps a weak one."""
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def keep_closing(self, task: asyncio.Task) -> None:
-        """Hold a task that tells an engine to end work; a stop waits for it."""
+        """Keep a task that cancels work at an engine; a stop waits for it."""
         self.keep_task(task)
         self.closing.add(task)
         task.add_done_callback(self.closing.discard)
 
     def adopt_snapshot(self, snapshot: Snapshot) -> None:
-        """Put a snapshot in force and wake all who wait for a change."""
+        """Activate a snapshot and wake all tasks that wait for a change."""
         self.snapshot = snapshot
         self.teams_by_digest = {
             digest: name
@@ -165,12 +166,12 @@
         self.stir_news()
 
     def stir_news(self) -> None:
-        """Have neighbours told of news now and not at their next heartbeat."""
+        """Send pending updates to the neighbours now, not at the next heartbeat."""
         self.news_stirred.set()
         self.news_stirred = asyncio.Event()
 
     def note_epoch(self, epoch: int, teller: str = "") -> None:
-        """Remember an epoch heard of, and wake the adoption if it is news."""
+        """Record a known epoch, and wake the adoption task if it is newer."""
         if epoch > self.known_epoch:
             self.known_epoch = epoch
         if epoch > self.snapshot.head.epoch:
@@ -178,10 +179,10 @@
             self.epoch_heard.set()
 
     def has_paused(self) -> bool:
-        """Return whether the last tick is so long ago that this was paused.
+        """Return whether the last tick is so long ago that the instance was paused.
 
-        Guards against the first request after a pause: it may be read before any
-        task of the instance has noticed that time has passed.
+        The first request after a pause may be read before any task of the instance has
+        detected the pause.
         """
         if self.ticked_at is None:
             return False
--- a/packages/instance/fulmarward/_lifecycle.py
+++ b/packages/instance/fulmarward/_lifecycle.py
@@ -1,8 +1,8 @@
-"""The life of an instance as a state table."""
+"""The lifecycle of an instance as a state machine."""
 
 from transitions import Machine
 
-#: From which state each step leads where.
+#: The transitions by trigger.
 TRANSITIONS = [
     {
         "trigger": "become_ready",
@@ -18,13 +18,12 @@
     {"trigger": "finish_stop", "source": "stopping", "dest": "stopped"},
 ]
 
-#: `checking` is that of an instance that was paused and asks whether what it knows
-#: is still so.
+#: In `checking` an instance that was paused verifies that its state is still current.
 STATES = ["starting", "serving", "checking", "stopping", "stopped"]
 
 
 class Lifecycle:
-    """Where an instance is in its life; a step out of order raises `MachineError`."""
+    """The state of an instance; an invalid transition raises `MachineError`."""
 
     state: str
 
--- a/packages/instance/fulmarward/_secret_files.py
+++ b/packages/instance/fulmarward/_secret_files.py
@@ -1,4 +1,4 @@
-"""The task that takes in changed secrets while the instance runs."""
+"""The task that reloads changed secrets while the instance runs."""
 
 import asyncio
 import logging
@@ -9,17 +9,17 @@
 from fulmarward.settings import Secrets, load_secrets
 from fulmarward_core.checks import Fault, describe_faults
 
-#: Seconds between two looks at the files. They hold a few lines each.
-LOOK_S = 2.0
+#: Seconds between two reads of the files, which are only a few lines long.
+POLL_INTERVAL_S = 2.0
 
 
 def take_secrets(instance: Instance, secrets: Secrets) -> None:
-    """Put changed secrets in force; what they are is never logged.
+    """Activate changed secrets; their values are never logged.
 
-    Links that stand were proved under the secrets of their time and go on. New ones
-    are proved with the first peer secret and accepted with any, so that a secret is
-    changed in three steps without a gap: add the new one last, put it first
-    everywhere, take the old one away.
+    Open links stay open, although they were authenticated with earlier secrets. New
+    links are authenticated with the first peer secret and accepted with any of them,
+    so that a secret is rotated in three steps without an interruption: add the new one
+    last, move it to the front everywhere, remove the old one.
     """
     instance.secrets = secrets
     instance.platform = replace(instance.platform, token=secrets.platform_token)
@@ -31,20 +31,20 @@
 
 
 async def watch_secrets(instance: Instance) -> None:
-    """Look at the files again and again.
+    """Poll the secret files, and activate their content when it changes.
 
-    Guards against a file that is half written or wrong: the secrets in force stay,
-    and the fault is logged once.
+    If a file is partly written or invalid, the current secrets stay active and the
+    fault is logged once.
     """
-    told: tuple[Fault, ...] = ()
+    reported: tuple[Fault, ...] = ()
     while True:
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
         loaded = load_secrets(instance.settings)
         if not isinstance(loaded, tuple):
-            told = ()
+            reported = ()
             if loaded != instance.secrets:
                 take_secrets(instance, loaded)
-        elif loaded != told:
-            told = loaded
+        elif loaded != reported:
+            reported = loaded
             faults = describe_faults(loaded)
             log_event("secrets_refused", level=logging.WARNING, faults=faults)
--- a/packages/instance/fulmarward/_stop.py
+++ b/packages/instance/fulmarward/_stop.py
@@ -1,4 +1,4 @@
-"""The requests that are open when an instance has to end."""
+"""Ends the requests that are still open when an instance stops."""
 
 import asyncio
 
@@ -6,16 +6,17 @@
 from fulmarward.answers import Answer
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
-#: Seconds in which callers take their last event and engines hear of cancelled work.
-#: Harm: one caller that reads nothing holds the stop; reason: both are one message.
-LAST_WORD_S = 2.0
+#: Seconds for callers to receive their final event and for engines to be told of
+#: cancelled work, which is one message each. Without the limit a caller that doesn't
+#: read would block the stop.
+FINAL_MESSAGES_S = 2.0
 
-#: Seconds between two looks whether all callers have left.
-LOOK_S = 0.02
+#: Seconds between two checks whether all callers have disconnected.
+CHECK_INTERVAL_S = 0.02
 
 
 def list_open(instance: Instance) -> list[Answer]:
-    """Return the answers that are not over, or that a caller still reads."""
+    """Return the answers that are unfinished or still being read by a caller."""
     return [
         answer
         for answer in instance.answers.values()
@@ -24,11 +25,11 @@
 
 
 async def end_open(instance: Instance) -> None:
-    """Tell the callers of open requests the truth, and end their tasks.
+    """Send callers of open requests the reason of the failure, and end the tasks.
 
-    Guards against connections that just break when a stop is hurried or has taken
-    its whole time. A stream that its caller can come back for runs on at its engine
-    and is read at another instance; other work is cancelled there.
+    Without it their connections would just break when the stop is expedited or has
+    reached its time limit. A resumable stream keeps running at its engine and can be
+    read through another instance; other work is cancelled there.
     """
     answers = list_open(instance)
     for answer in answers:
@@ -38,10 +39,10 @@
     for task in tasks:
         task.cancel()
     try:
-        async with asyncio.timeout(LAST_WORD_S):
+        async with asyncio.timeout(FINAL_MESSAGES_S):
             await asyncio.gather(*tasks, return_exceptions=True)
             while any(answer.readers for answer in answers):
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
             await asyncio.gather(*instance.closing, return_exceptions=True)
     except TimeoutError:
         return
--- a/packages/instance/fulmarward/operators/__init__.py
+++ b/packages/instance/fulmarward/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' edge: HTTP and JSON, with operator tokens."""
+"""The operators' HTTP API: JSON, authenticated by operator tokens."""
 
 from fulmarward.operators._server import make_operator_app
 
--- a/packages/instance/fulmarward/operators/_server.py
+++ b/packages/instance/fulmarward/operators/_server.py
@@ -1,4 +1,4 @@
-"""The web application that `fulmarctl` uses."""
+"""The operators' web application, used by `fulmarctl`."""
 
 import hmac
 from collections.abc import Awaitable, Callable
@@ -35,17 +35,17 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-#: Largest body of an operator's call in bytes.
-MOST_BODY_BYTES = 16 * 1024 * 1024
+#: Maximum body size of an operator's request in bytes.
+MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
-#: Epochs that the history shows, unless asked for another number, and the most.
-HISTORY = 20
-MOST_HISTORY = 200
+#: Default and maximum number of epochs in a history response.
+DEFAULT_HISTORY_LENGTH = 20
+MAX_HISTORY_LENGTH = 200
 
 
 class _QueryFault(Exception):
-    """A query parameter that is no number in its bounds."""
+    """A query parameter is not a number within its bounds."""
 
 
 def _read_number(
@@ -57,14 +57,14 @@
     return int(text)
 
 
-def _read_anything(value: object, where: str, faults: list) -> object:
+def _read_unchecked(value: object, where: str, faults: list) -> object:
     return value
 
 
 _READ_APPLY = read_record(
     ApplyRequest,
     {
-        "declaration": Field(read=_read_anything),
+        "declaration": Field(read=_read_unchecked),
         "apply_id": Field(read=read_text(pattern=r"\S{8,64}", expected="an id")),
         "applied_by": Field(read=read_text(pattern=r".{1,64}", expected="a name")),
         "base_epoch": Field(
@@ -131,7 +131,7 @@
 
 
 def make_operator_app(instance: Instance) -> web.Application:
-    """Return the web application that operators use."""
+    """Return the web application for operators."""
 
     @web.middleware
     async def check_token(request: web.Request, handler: Handler) -> web.StreamResponse:
@@ -166,7 +166,7 @@
     async def show_targets(request: web.Request) -> web.Response:
         return web.json_response({"targets": _show_targets(instance)})
 
-    async def give_declaration(request: web.Request) -> web.Response:
+    async def get_declaration(request: web.Request) -> web.Response:
         if "epoch" not in request.query:
             head, value = instance.snapshot.head, show_declaration(instance)
             return web.json_response({"head": asdict(head), "declaration": value})
@@ -179,7 +179,9 @@
         return web.json_response({"head": asdict(head), "declaration": value})
 
     async def show_history(request: web.Request) -> web.Response:
-        count = _read_number(request, "count", MOST_HISTORY, default=HISTORY)
+        count = _read_number(
+            request, "count", MAX_HISTORY_LENGTH, default=DEFAULT_HISTORY_LENGTH
+        )
         heads = await read_history(instance, count)
         if isinstance(heads, Failure):
             return make_failure_response(heads)
@@ -241,12 +243,12 @@
             return make_failure_response(pools)
         return web.json_response({"pools": pools})
 
-    app = web.Application(middlewares=[check_token], client_max_size=MOST_BODY_BYTES)
+    app = web.Application(middlewares=[check_token], client_max_size=MAX_BODY_BYTES)
     app.add_routes(
         [
             web.get("/status", show_status),
             web.get("/targets", show_targets),
-            web.get("/declaration", give_declaration),
+            web.get("/declaration", get_declaration),
             web.get("/history", show_history),
             web.get("/trace/{request}", show_trace),
             web.post("/apply", apply),
--- a/packages/instance/fulmarward/platform/__init__.py
+++ b/packages/instance/fulmarward/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's service: tables, objects and the list of instances."""
+"""Client of the platform's service: tables, objects and the list of instances."""
 
 from fulmarward.platform._adapter import (
     Absent,
--- a/packages/instance/fulmarward/platform/_adapter.py
+++ b/packages/instance/fulmarward/platform/_adapter.py
@@ -1,8 +1,8 @@
-"""The one module that knows the platform's protocol.
+"""The only module that implements the platform's protocol.
 
 Every function returns a tagged outcome and never raises for the platform's faults.
-`Uncertain` is not `PlatformOut`: the write may have taken effect, and the caller of
-the function has to read back before it says anything.
+`Uncertain` differs from `PlatformOut`: the write may have taken effect, and the caller
+has to read the row again before it reports a result.
 """
 
 import asyncio
@@ -25,17 +25,16 @@
     note_success,
 )
 
-#: Calls of one instance under way at once. Load: a platform that answers slowly for
-#: long; harm: calls pile up here and there; reason: its share of calls a second, at
-#: half a second each.
-MOST_AT_ONCE = 16
+#: Maximum concurrent calls of one instance: its share of calls a second at half a
+#: second each. If the platform stays slow, calls would pile up on both sides.
+MAX_CONCURRENT_CALLS = 16
 
 _IS_FOR_OPERATOR: ContextVar[bool] = ContextVar("is_for_operator", default=False)
 
 
 @contextmanager
 def call_for_operator() -> Iterator[None]:
-    """Mark the calls made inside as an operator's, who waits for the true answer."""
+    """Mark the calls made in the context as made for a waiting operator."""
     token = _IS_FOR_OPERATOR.set(True)
     try:
         yield
@@ -45,26 +44,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Platform:
-    """Where the platform is and how to call it."""
+    """Connection parameters and call limits of the platform."""
 
     #: The HTTP client.
     session: aiohttp.ClientSession
-    #: Address `IP:PORT`.
+    #: The platform's address, `IP:PORT`.
     address: str
-    #: The platform's token for this instance.
+    #: This instance's token for the platform.
     token: str
-    #: Most seconds that one call may take.
+    #: Timeout of one call in seconds.
     timeout_s: float
-    #: What calls pass through.
+    #: Rate limit and circuit breaker for calls.
     gate: Gate = field(default_factory=Gate)
-    #: Returns how many instances share the platform.
+    #: Returns the number of instances that share the platform.
     count_instances: Callable[[], int] = lambda: 1
-    #: The steady clock, and the random numbers for pauses.
+    #: The monotonic clock, and the random generator for delays.
     read_clock: Callable[[], float] = time.monotonic
     generator: random.Random = field(default_factory=random.Random)
-    #: Bounds the calls under way.
-    places: asyncio.Semaphore = field(
-        default_factory=lambda: asyncio.Semaphore(MOST_AT_ONCE)
+    #: Limits concurrent calls.
+    call_slots: asyncio.Semaphore = field(
+        default_factory=lambda: asyncio.Semaphore(MAX_CONCURRENT_CALLS)
     )
 
 
@@ -72,22 +71,22 @@
 class Row:
     """One row of a table."""
 
-    #: Its key.
+    #: Key of the row.
     key: str
-    #: Rises with each write; 0 when the row is absent.
+    #: Version, which rises with each write; 0 when the row is absent.
     version: int
-    #: Its value, any JSON; `None` when the row is absent.
+    #: JSON value; `None` when the row is absent.
     value: Any
 
 
 @dataclass(frozen=True, kw_only=True)
 class Condition:
-    """What a row must be for a transaction to take effect."""
+    """The version that a row must have for a transaction to commit."""
 
     #: Table and key of the row.
     table: str
     key: str
-    #: The version it must have; 0 for an absent row.
+    #: The required version; 0 requires that the row is absent.
     version: int
 
 
@@ -104,9 +103,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Committed:
-    """The transaction took effect."""
+    """The write was committed."""
 
-    #: The new versions, in the order of the writes.
+    #: The new versions in the order of a transaction's writes; empty for an object.
     versions: tuple[int, ...]
 
 
@@ -114,23 +113,23 @@
 class Conflict:
     """A condition did not hold; nothing took effect."""
 
-    #: The row that differed.
+    #: The current state of the row whose condition failed.
     row: Row
 
 
 @dataclass(frozen=True, kw_only=True)
 class PlatformOut:
-    """The platform did not take the call: nothing took effect."""
+    """The platform is unavailable or refused the call; nothing took effect."""
 
-    #: What was seen.
+    #: The error that was seen.
     detail: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Uncertain:
-    """The call was sent and its reply was lost: it may have taken effect."""
+    """The call was sent and its reply was lost; it may have taken effect."""
 
-    #: What was seen.
+    #: The error that was seen.
     detail: str
 
 
@@ -141,17 +140,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlatformMember:
-    """One entry of the platform's list, which lags."""
+    """One entry of the platform's list, which lags behind reality."""
 
     #: Name of the instance or target.
     name: str
     #: `instance` or `target`.
     kind: str
-    #: Whether the platform is taking it away.
+    #: Whether the platform is removing it.
     is_leaving: bool
     #: Its data centre.
     data_centre: str
-    #: Where peers and callers reach an instance; empty for a target.
+    #: Addresses of an instance for peers and for callers; empty for a target.
     peer_address: str
     caller_address: str
 
@@ -166,7 +165,7 @@
 async def _call(
     platform: Platform, method: str, path: str, **options: object
 ) -> _Reply | PlatformOut | Uncertain:
-    """Call within the instance's share, and leave a platform that fails in peace."""
+    """Call the platform within this instance's rate limit and the circuit breaker."""
     kind = CallKind.READ if method == "GET" else CallKind.WRITE
     verdict = admit_call(
         platform.gate,
@@ -178,7 +177,7 @@
     if isinstance(verdict, Refused):
         return PlatformOut(detail=verdict.reason)
     await asyncio.sleep(verdict.seconds)
-    async with platform.places:
+    async with platform.call_slots:
         outcome = await _send(platform, method, path, **options)
     if isinstance(outcome, _Reply):
         note_success(platform.gate)
@@ -196,10 +195,10 @@
     expected: tuple[int, ...] = (200,),
     **options: object,
 ) -> _Reply | PlatformOut | Uncertain:
-    """Call the platform.
+    """Send one HTTP request to the platform.
 
-    A status that is not expected is as good as an outage: a token that was changed
-    on one side only gives 401, and the caller goes on without the platform.
+    An unexpected status is treated like an outage: a token that was changed on one side
+    only gives 401, and the caller continues without the platform.
     """
     headers = {"Authorization": f"Bearer {platform.token}"}
     timeout = aiohttp.ClientTimeout(total=platform.timeout_s)
@@ -224,32 +223,32 @@
     return _Reply(status=response.status, body=body, json=value)
 
 
-def _as_out(outcome: PlatformOut | Uncertain) -> PlatformOut:
+def _to_platform_out(outcome: PlatformOut | Uncertain) -> PlatformOut:
     return PlatformOut(detail=outcome.detail)
 
 
 async def read_row(platform: Platform, table: str, key: str) -> Row | PlatformOut:
-    """Return a row; an absent one has version 0."""
+    """Return a row, with version 0 if it is absent."""
     reply = await _call(platform, "GET", f"/tables/{table}/{key}")
     if not isinstance(reply, _Reply):
-        return _as_out(reply)
+        return _to_platform_out(reply)
     return Row(key=key, version=reply.json["version"], value=reply.json["value"])
 
 
 async def list_rows(
     platform: Platform, table: str, prefix: str = ""
 ) -> tuple[Row, ...] | PlatformOut:
-    """Return the rows of a table whose keys begin with `prefix`, by key."""
+    """Return the rows of a table whose keys begin with `prefix`, sorted by key."""
     reply = await _call(platform, "GET", f"/tables/{table}", params={"prefix": prefix})
     if not isinstance(reply, _Reply):
-        return _as_out(reply)
+        return _to_platform_out(reply)
     return tuple(Row(**row) for row in reply.json["rows"])
 
 
 async def transact(
     platform: Platform, *, conditions: Sequence[Condition], writes: Sequence[Write]
 ) -> Committed | Conflict | PlatformOut | Uncertain:
-    """Run a transaction: every write takes effect if every condition holds."""
+    """Run a transaction: all writes take effect if all conditions hold, else none."""
     body = {
         "conditions": [vars(condition) for condition in conditions],
         "writes": [vars(write) for write in writes],
@@ -267,7 +266,7 @@
 async def store_object(
     platform: Platform, key: str, body: bytes
 ) -> Committed | PlatformOut | Uncertain:
-    """Store bytes under `key`; storing the same again changes nothing."""
+    """Store bytes under `key`; idempotent for equal bytes."""
     reply = await _call(platform, "PUT", f"/objects/{key}", data=body)
     return Committed(versions=()) if isinstance(reply, _Reply) else reply
 
@@ -276,7 +275,7 @@
     """Return the bytes under `key`."""
     reply = await _call(platform, "GET", f"/objects/{key}", expected=(200, 404))
     if not isinstance(reply, _Reply):
-        return _as_out(reply)
+        return _to_platform_out(reply)
     return Absent() if reply.status == 404 else reply.body
 
 
@@ -286,7 +285,7 @@
     """Return the platform's list of live and leaving instances and targets."""
     reply = await _call(platform, "GET", "/instances")
     if not isinstance(reply, _Reply):
-        return _as_out(reply)
+        return _to_platform_out(reply)
     return tuple(
         PlatformMember(
             name=entry["name"],
--- a/packages/instance/fulmarward/settings/_types.py
+++ b/packages/instance/fulmarward/settings/_types.py
@@ -43,8 +43,8 @@
     order_ms: int = 5_000
     #: Milliseconds for which callers cache a discovery answer.
     discovery_ms: int = 5_000
-    #: Milliseconds for which an idempotency key identifies its request. It has to outlast
-    #: any caller's retries, and an entry is kept in memory for each key this long.
+    #: Milliseconds for which an idempotency key identifies its request. It has to
+    #: outlast any caller's retries; an entry is kept for each key this long.
     key_ms: int = 600_000
 
 
