--- a/packages/instance/fulmarward/health/_gossip.py
+++ b/packages/instance/fulmarward/health/_gossip.py
@@ -54,10 +54,10 @@
 ) -> HealthNews:
     """Merge a peer's summaries and answer with those that it lacks."""
     hear_summaries(instance, peer.name, message.summaries)
-    return _make_health_news(instance, peer.name)
+    return _make_health_message(instance, peer.name)
 
 
-def _make_health_news(instance: Instance, peer: str) -> HealthNews:
+def _make_health_message(instance: Instance, peer: str) -> HealthNews:
     return HealthNews(
         digest=compute_leaving_digest(instance.leaving),
         summaries=take_unsent(instance, peer),
@@ -68,7 +68,7 @@
     """Exchange summaries, and leaving records if they differ, with a neighbour."""
     address = instance.members.members[name].peer_address
     try:
-        own = _make_health_news(instance, name)
+        own = _make_health_message(instance, name)
         theirs = await links.call(address, own, ANSWER_TIMEOUT_S)
         hear_summaries(instance, name, theirs.summaries)
         if theirs.digest == compute_leaving_digest(instance.leaving):
@@ -101,7 +101,7 @@
             instance.keep_task(asyncio.create_task(sending))
 
 
-async def _wait_for_news(instance: Instance, until: float) -> bool:
+async def _wait_for_records(instance: Instance, until: float) -> bool:
     try:
         async with asyncio.timeout(max(until - instance.read_clock(), 0.0)):
             await instance.news_came.wait()
@@ -116,7 +116,7 @@
     turn = 0
     next_round = instance.read_clock()
     while True:
-        if await _wait_for_news(instance, next_round):
+        if await _wait_for_records(instance, next_round):
             records, instance.unsent_news = instance.unsent_news, []
             _push(instance, links, records)
             continue
--- a/packages/instance/fulmarward/health/_leaving.py
+++ b/packages/instance/fulmarward/health/_leaving.py
@@ -46,13 +46,13 @@
         instance.report_hurries[name].set()
 
 
-def _apply_update(instance: Instance, name: str, news: LeavingRecord | None) -> None:
+def _apply_update(instance: Instance, name: str, record: LeavingRecord | None) -> None:
     show_leaving(instance, name)
-    is_placed = news is not None and news.source is LeavingSource.PLACEMENT
-    if is_placed and not news.is_leaving:
+    is_placed = record is not None and record.source is LeavingSource.PLACEMENT
+    if is_placed and not record.is_leaving:
         _request_report(instance, name)
-    if news is not None:
-        instance.unsent_news.append(news)
+    if record is not None:
+        instance.unsent_news.append(record)
         instance.news_came.set()
 
 
@@ -66,23 +66,23 @@
         return
     key = (name, LeavingSource.PLATFORM_LIST)
     now = instance.read_clock()
-    news = observe(instance.leaving, key, leaving=leaving, now=now)
-    _apply_update(instance, name, news)
+    record = observe(instance.leaving, key, leaving=leaving, now=now)
+    _apply_update(instance, name, record)
 
 
 def note_report(instance: Instance, name: str, *, leaving: bool) -> None:
     """Record a target's state in its load report."""
     now = instance.read_clock()
-    news = observe_report(instance.leaving, name, leaving=leaving, now=now)
-    _apply_update(instance, name, news)
+    record = observe_report(instance.leaving, name, leaving=leaving, now=now)
+    _apply_update(instance, name, record)
 
 
 def note_placement(instance: Instance, name: str, *, leaving: bool) -> None:
     """Start or end placement's drain of a target, on all instances."""
     key = (name, LeavingSource.PLACEMENT)
     now = instance.read_clock()
-    news = announce(instance.leaving, key, leaving=leaving, now=now)
-    _apply_update(instance, name, news)
+    record = announce(instance.leaving, key, leaving=leaving, now=now)
+    _apply_update(instance, name, record)
 
 
 def note_refusal(instance: Instance, name: str, detail: str) -> None:
@@ -98,8 +98,8 @@
     if detail == "leaving":
         key = (name, LeavingSource.TARGET)
         now = instance.read_clock()
-        news = observe(instance.leaving, key, leaving=True, now=now)
-        _apply_update(instance, name, news)
+        record = observe(instance.leaving, key, leaving=True, now=now)
+        _apply_update(instance, name, record)
 
 
 def hear_records(instance: Instance, records: Iterable[LeavingRecord]) -> None:
--- a/packages/instance/fulmarward/membership/_hearing.py
+++ b/packages/instance/fulmarward/membership/_hearing.py
@@ -75,7 +75,7 @@
 
 
 def make_ping(instance: Instance, peer: Member | None) -> Ping:
-    """Return the next heartbeat to `peer`, which is its record as known here."""
+    """Return the next heartbeat; `peer` is the receiver's record, if it is known."""
     correction = () if peer is None else _correct_peer(instance, peer)
     return Ping(**_make_heartbeat_fields(instance, correction))
 
