--- a/packages/instance/fulmarward/platform/_adapter.py
+++ b/packages/instance/fulmarward/platform/_adapter.py
@@ -1,8 +1,8 @@
 """The only module that implements the platform's protocol.
 
 Every function returns a tagged outcome and never raises for the platform's faults.
-`Uncertain` differs from `PlatformOut`: the write may have taken effect, and the caller
-has to read the row again before it reports a result.
+`Uncertain` differs from `PlatformOut`: the write may have taken effect, and the
+caller has to read the row again before it reports a result.
 """
 
 import asyncio
