--- a/packages/instance/fulmarward/keys/__init__.py
+++ b/packages/instance/fulmarward/keys/__init__.py
@@ -1,4 +1,4 @@
-"""Executing at most once what carries an idempotency key."""
+"""At-most-once execution of requests that carry an idempotency key."""
 
 from fulmarward.keys._calls import execute_call, forward_call, make_call_end
 from fulmarward.keys._claims import PendingClaim, claim_invented, sweep_claims
--- a/packages/instance/fulmarward/keys/_calls.py
+++ b/packages/instance/fulmarward/keys/_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services under a key. A service has no stream to come back to."""
+"""Keyed calls of plain services, which have no streams that could be resumed."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -7,7 +7,11 @@
 from fulmarward._instance import Instance
 from fulmarward.keys._home import claim_call, find_home_refusal, make_confirmation
 from fulmarward.keys._prefixes import find_address, is_home, read_key
-from fulmarward.keys._relay import GRACE_S, SIGN_S, SILENCE_S
+from fulmarward.keys._relay import (
+    DEADLINE_GRACE_S,
+    HEARTBEAT_INTERVAL_S,
+    HOME_TIMEOUT_S,
+)
 from fulmarward.keys._takeover import take_key_over
 from fulmarward.keys._witness import check_boot, send_note
 from fulmarward.observability import log_event
@@ -30,16 +34,16 @@
 from fulmarward_core.membership import Member
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
-#: Largest answer that is copied to the witness, in bytes. Load: each call that may
-#: run once; harm: every answer crosses the network twice; reason: such calls answer
-#: with a word or a small record.
-MOST_COPY_BYTES = 64_000
+#: Largest answer that is copied to the witness, in bytes. Every non-idempotent call
+#: sends its answer over the network twice; such answers are usually a word or a small
+#: record.
+MAX_COPY_BYTES = 64_000
 
 
 async def execute_call(
     instance: Instance, call: Call, key: HandedKey, body_hash: str
 ) -> CallEnd:
-    """Return the answer of a call under a key, executing it if it is new."""
+    """Return the result of a call under a key, executing it if it is new."""
     if is_home(instance, key):
         return await asyncio.shield(_open_at_home(instance, call, key, body_hash))
     return await _relay(instance, call, key, body_hash)
@@ -51,27 +55,29 @@
     entry, is_new, failure = claim_call(
         instance, key, team=call.team, request=call.request, body_hash=body_hash
     )
-    ending = asyncio.get_running_loop().create_future()
+    result_future = asyncio.get_running_loop().create_future()
     if failure is None and is_new:
-        entry.answer = ending
+        entry.answer = result_future
         running = _run(instance, call, key, body_hash, entry)
         instance.keep_task(asyncio.create_task(running))
     elif failure is None:
         return entry.answer
     else:
-        ending.set_result(CallEnd(request=call.request, result=None, failure=failure))
-    return ending
+        result_future.set_result(
+            CallEnd(request=call.request, result=None, failure=failure)
+        )
+    return result_future
 
 
 async def _run(
     instance: Instance, call: Call, key: HandedKey, body_hash: str, entry: KeyEntry
 ) -> None:
-    """Execute a call and end its key, whether or not its caller waits.
+    """Execute a call and end its key, whether or not its caller still waits.
 
-    The witness has a copy of the answer before any caller. Guards against an answer
-    that is lost with its home: the call cannot be made again to get it.
+    The witness gets a copy of the answer before any caller does: if the home is lost,
+    the call cannot be repeated to get the answer.
     """
-    ending = entry.answer
+    result_future = entry.answer
     confirm = make_confirmation(
         instance, key, body_hash=body_hash, request=call.request, stream_layers=None
     )
@@ -81,7 +87,7 @@
             outcome = find_home_refusal(instance) or await run_call(
                 instance, call, confirm
             )
-            await _tell_witness(instance, key, outcome)
+            await _report_outcome(instance, key, outcome)
     finally:
         is_failure = isinstance(outcome, Failure)
         end_key(
@@ -94,21 +100,21 @@
         )
         if is_failure and call.idempotent:
             forget_key(instance.key_table, key.text)
-        ending.set_result(make_call_end(call.request, outcome))
+        result_future.set_result(make_call_end(call.request, outcome))
 
 
-async def _tell_witness(
+async def _report_outcome(
     instance: Instance, key: HandedKey, outcome: ResultCopy | Failure
 ) -> None:
     if isinstance(outcome, Failure):
         await send_note(instance, key, RecordStep.END, failure=outcome)
         return
-    copy = outcome if len(outcome.body) <= MOST_COPY_BYTES else None
+    copy = outcome if len(outcome.body) <= MAX_COPY_BYTES else None
     await send_note(instance, key, RecordStep.END, answer=copy)
 
 
 def make_call_end(request: str, outcome: ResultCopy | Failure) -> CallEnd:
-    """Return the end of a call as callers and peers are told it."""
+    """Return the result of a call in the form sent to callers and peers."""
     if isinstance(outcome, Failure):
         return CallEnd(request=request, result=None, failure=outcome)
     return CallEnd(request=request, result=outcome, failure=None)
@@ -117,7 +123,7 @@
 async def forward_call(
     instance: Instance, peer: Member, message: ForwardCall
 ) -> AsyncIterator[object]:
-    """Answer a forwarded call as the home of its key."""
+    """Handle a forwarded call at the home of its key."""
     check_boot(instance, message.boot)
     key = read_key(instance, message.team, message.key)
     if not isinstance(key, HandedKey) or not is_home(instance, key):
@@ -134,17 +140,17 @@
         idempotent=False,
         deadline=instance.read_clock() + message.deadline_ms / 1000,
     )
-    ending = _open_at_home(instance, call, key, message.body_hash)
-    while not ending.done():
+    result_future = _open_at_home(instance, call, key, message.body_hash)
+    while not result_future.done():
         yield AnswerPart(request="", locator="", texts=())
-        await asyncio.wait([ending], timeout=SIGN_S)
-    yield ending.result()
+        await asyncio.wait([result_future], timeout=HEARTBEAT_INTERVAL_S)
+    yield result_future.result()
 
 
 async def _relay(
     instance: Instance, call: Call, key: HandedKey, body_hash: str
 ) -> CallEnd:
-    timeout_s = call.deadline - instance.read_clock() + GRACE_S
+    timeout_s = call.deadline - instance.read_clock() + DEADLINE_GRACE_S
     try:
         async with asyncio.timeout(max(timeout_s, 0.0)):
             end = await _read_home(instance, call, key, body_hash)
@@ -174,7 +180,7 @@
         deadline_ms=max(1, round(remaining_s * 1000)),
     )
     try:
-        async for item in instance.links.stream(address, message, SILENCE_S):
+        async for item in instance.links.stream(address, message, HOME_TIMEOUT_S):
             if isinstance(item, CallEnd):
                 return item
     except PeerLost as lost:
@@ -190,7 +196,7 @@
 async def _take_over(
     instance: Instance, call: Call, key: HandedKey, body_hash: str
 ) -> CallEnd:
-    """Tell what the witness knows. An attempt without an answer stays unknown."""
+    """Return the result that the witness recorded, "unknown" if it has none."""
     _, taken, failure = await take_key_over(
         instance, key, request=call.request, body_hash=body_hash
     )
--- a/packages/instance/fulmarward/keys/_claims.py
+++ b/packages/instance/fulmarward/keys/_claims.py
@@ -1,7 +1,7 @@
-"""Claiming keys that callers invented, in the platform's table, many at a time.
+"""Claims client-generated keys in the platform's table, in batches.
 
-A claim gives an invented key one that is handed out: from then on it is kept by a home
-and a witness like any other, and the platform is asked no more.
+A claim maps a client-generated key to an issued one. From then on a home and a witness
+keep it like any other key, and the platform is not queried again.
 """
 
 import asyncio
@@ -36,89 +36,90 @@
 #: The table of claims.
 TABLE = "claims"
 
-#: Seconds in which claims gather for one transaction. Load: 24 requests/s for each of
-#: 330 instances, a part of them with invented keys; harm: a write for each is past
-#: what the platform takes; reason: far below a first token's 1.6 s. While a
-#: transaction is under way or waits for the instance's share, more gather.
-WINDOW_S = 0.01
+#: Seconds for which claims are collected into one transaction. Each of 330 instances
+#: serves 24 requests/s, part of them with client-generated keys; one write per claim
+#: would exceed the platform's capacity. The delay is small against the 1.6 s to a first
+#: token. Claims also accumulate while a transaction is in progress or waits for the
+#: instance's share.
+BATCH_WINDOW_S = 0.01
 
-#: Claims of one transaction. Harm: one that is too large for the platform; reason:
-#: about 400 bytes each make 40 KB.
-MOST_AT_ONCE = 100
+#: Bounds the size of a transaction: claims of about 400 bytes make 40 KB, which the
+#: platform accepts.
+MAX_CLAIMS_PER_TRANSACTION = 100
 
-#: Claims that wait. Harm: memory and callers held up while the platform is slow;
-#: reason: ten transactions are a few seconds, and a caller that hears "not run" at
-#: once can take a handed key.
-MOST_WAITING = 1_000
+#: Bounds memory and the delay of callers while the platform is slow: ten transactions
+#: take a few seconds. A caller that is told "not run" at once can use an issued key.
+MAX_WAITING_CLAIMS = 1_000
 
-#: Claims that an instance remembers. Harm: memory; reason: about 500 bytes each make
-#: 5 MB, and one that is forgotten is read from the platform.
-MOST_KNOWN = 10_000
+#: Bounds the memory of the cache: claims of about 500 bytes make 5 MB. An evicted claim
+#: is read from the platform again.
+MAX_CACHED_CLAIMS = 10_000
 
-#: Seconds that a claim's row is kept. After it an invented key is new again.
-KEEP_S = 3_600.0
+#: Seconds for which a claim's row is kept. After that, a repeat of a client-generated
+#: key counts as a new request.
+CLAIM_RETENTION_S = 3_600.0
 
-#: Seconds between two sweeps of an instance, each of one of 256 parts of the table.
-#: Load: 78 claims a second, one in a hundred requests, make 1,100 rows a part; harm:
-#: rows that nobody deletes fill the table; reason: 330 instances visit each part
+#: Seconds between two sweeps by an instance, each over one of 256 parts of the table.
+#: Without sweeps, expired rows would fill the table: 78 claims a second (one in a
+#: hundred requests) make 1,100 rows per part. 330 instances together sweep each part
 #: every eight minutes, 8 instances every five hours.
-SWEEP_S = 600.0
+SWEEP_INTERVAL_S = 600.0
 
-#: When a caller may come back while the platform is out, in milliseconds.
+#: Milliseconds after which a caller may retry while the platform is unavailable.
 RETRY_AFTER_MS = 2_000
 
 
 @dataclass(kw_only=True)
 class PendingClaim:
-    """One claim that waits for its transaction."""
+    """A claim that has not been written yet."""
 
-    #: Its row.
+    #: Key of its row in the claims table.
     row_key: str
     claim: ClaimRow
-    #: The key handed out for it.
+    #: The key issued for it.
     key: HandedKey
-    #: The claim that stands in the table in the end, or why there is none.
+    #: The claim that the table holds in the end, or the failure if there is none.
     outcome: asyncio.Future[ClaimRow | Failure]
 
 
 async def claim_invented(
     instance: Instance, team: str, key: InventedKey, body_hash: str
 ) -> HandedKey | Failure:
-    """Return the handed key that stands for an invented one, claiming it if new."""
+    """Return the issued key of a client-generated one, claiming it if it is new."""
     row_key = make_row_key(team, key.text)
-    outcome = _find_known(instance, row_key)
+    outcome = _find_cached(instance, row_key)
     if outcome is None:
         outcome = await _claim(instance, team, row_key, body_hash)
     if isinstance(outcome, Failure):
         return outcome
-    _remember(instance, row_key, outcome)
+    _cache_claim(instance, row_key, outcome)
     found = read_key(instance, team, outcome.handed)
     if not isinstance(found, HandedKey):
-        detail = "The key's row was sealed with a secret that is gone."
+        detail = "The key's row was sealed with a secret that is no longer known."
         return make_failure(ResultCode.OUTCOME_UNKNOWN, detail)
     return found
 
 
-def _find_known(instance: Instance, row_key: str) -> ClaimRow | None:
-    """Return a claim met before, so that a repeat here does not need the platform."""
+def _find_cached(instance: Instance, row_key: str) -> ClaimRow | None:
+    """Return a cached claim, so that a repeat here does not need the platform."""
     claim = instance.known_claims.get(row_key)
-    horizon = instance.read_wall_clock() - KEEP_S
-    return claim if claim is not None and claim.claimed_at > horizon else None
+    cutoff = instance.read_wall_clock() - CLAIM_RETENTION_S
+    return claim if claim is not None and claim.claimed_at > cutoff else None
 
 
-def _remember(instance: Instance, row_key: str, claim: ClaimRow) -> None:
-    known = instance.known_claims
-    known[row_key] = claim
-    while len(known) > MOST_KNOWN:
-        del known[next(iter(known))]
+def _cache_claim(instance: Instance, row_key: str, claim: ClaimRow) -> None:
+    cache = instance.known_claims
+    cache[row_key] = claim
+    while len(cache) > MAX_CACHED_CLAIMS:
+        del cache[next(iter(cache))]
 
 
 async def _claim(
     instance: Instance, team: str, row_key: str, body_hash: str
 ) -> ClaimRow | Failure:
     pending = _make_pending(instance, team, row_key, body_hash)
-    if len(instance.waiting_claims) >= MOST_WAITING:
-        return _refuse(instance, pending, "too many claims wait")
+    if len(instance.waiting_claims) >= MAX_WAITING_CLAIMS:
+        return _refuse(instance, pending, "too many pending claims")
     instance.waiting_claims.append(pending)
     if instance.claim_writer is None or instance.claim_writer.done():
         instance.claim_writer = asyncio.create_task(_write_waiting(instance))
@@ -144,11 +145,11 @@
 
 
 def _refuse(instance: Instance, pending: PendingClaim, reason: str) -> Failure:
-    """Close the handed key, then say that nothing ran.
+    """Close the issued key and return a failure that says "not run".
 
-    Guards against a claim whose write takes effect later: its row names the handed
-    key, and a repeat that finds the row is told the same, by the home or, once that
-    is gone, by the witness, which has no record.
+    The claim's write may still take effect later. Its row then names the closed key,
+    so a repeat that finds the row gets the same result from the home or, if the home is
+    gone, from the witness, which has no record.
     """
     failure = make_failure(
         ResultCode.STORE_UNAVAILABLE, reason, retry_after_ms=RETRY_AFTER_MS
@@ -160,66 +161,68 @@
 
 async def _write_waiting(instance: Instance) -> None:
     while instance.waiting_claims:
-        await asyncio.sleep(WINDOW_S)
-        claims = _take_distinct(instance)
+        await asyncio.sleep(BATCH_WINDOW_S)
+        claims = _dequeue_distinct(instance)
         try:
             await _write(instance, claims)
         finally:
             for pending in claims:
                 if not pending.outcome.done():
-                    failure = _refuse(instance, pending, "no word from the platform")
+                    failure = _refuse(instance, pending, "no reply from the platform")
                     pending.outcome.set_result(failure)
 
 
-def _take_distinct(instance: Instance) -> list[PendingClaim]:
-    """Take the next claims out, no two of one row: the second finds the first's."""
-    taken: dict[str, PendingClaim] = {}
-    left = []
+def _dequeue_distinct(instance: Instance) -> list[PendingClaim]:
+    """Dequeue the next claims, at most one per row: a later one finds the first's."""
+    batch: dict[str, PendingClaim] = {}
+    remaining = []
     for pending in instance.waiting_claims:
-        if pending.row_key in taken or len(taken) == MOST_AT_ONCE:
-            left.append(pending)
+        if pending.row_key in batch or len(batch) == MAX_CLAIMS_PER_TRANSACTION:
+            remaining.append(pending)
         else:
-            taken[pending.row_key] = pending
-    instance.waiting_claims = left
-    return list(taken.values())
+            batch[pending.row_key] = pending
+    instance.waiting_claims = remaining
+    return list(batch.values())
 
 
 async def _write(instance: Instance, claims: Sequence[PendingClaim]) -> None:
-    """Write claims in one transaction, and again without those that others made."""
-    open_claims = list(claims)
-    while open_claims:
+    """Write claims in one transaction; retry without those already in the table."""
+    remaining = list(claims)
+    while remaining:
         result = await transact(
             instance.platform,
             conditions=[
                 Condition(table=TABLE, key=pending.row_key, version=0)
-                for pending in open_claims
+                for pending in remaining
             ],
             writes=[
                 Write(table=TABLE, key=pending.row_key, value=pack_claim(pending.claim))
-                for pending in open_claims
+                for pending in remaining
             ],
         )
         if isinstance(result, Conflict):
-            for pending in open_claims:
+            for pending in remaining:
                 if pending.row_key == result.row.key:
                     pending.outcome.set_result(unpack_claim(result.row.value))
-            open_claims = [item for item in open_claims if not item.outcome.done()]
+            remaining = [item for item in remaining if not item.outcome.done()]
             continue
-        await _END_WRITE[type(result)](instance, open_claims)
+        await _RESULT_HANDLERS[type(result)](instance, remaining)
         return
 
 
-async def _end_committed(instance: Instance, claims: Sequence[PendingClaim]) -> None:
+async def _handle_committed(instance: Instance, claims: Sequence[PendingClaim]) -> None:
     for pending in claims:
         pending.outcome.set_result(pending.claim)
 
 
-async def _end_out(instance: Instance, claims: Sequence[PendingClaim]) -> None:
-    """Leave the claims without an outcome; they are refused."""
+async def _handle_unavailable(
+    instance: Instance, claims: Sequence[PendingClaim]
+) -> None:
+    """Leave the claims without an outcome, so that the caller refuses them."""
 
 
-async def _end_uncertain(instance: Instance, claims: Sequence[PendingClaim]) -> None:
-    """Read back what stands after a reply was lost; what cannot be read is refused."""
+async def _handle_uncertain(instance: Instance, claims: Sequence[PendingClaim]) -> None:
+    """Read the rows back after a lost reply; claims that cannot be read are refused."""
     for pending in claims:
         row = await read_row(instance.platform, TABLE, pending.row_key)
         if isinstance(row, PlatformOut):
@@ -228,28 +231,28 @@
             pending.outcome.set_result(unpack_claim(row.value))
 
 
-_END_WRITE = {
-    Committed: _end_committed,
-    PlatformOut: _end_out,
-    Uncertain: _end_uncertain,
+_RESULT_HANDLERS = {
+    Committed: _handle_committed,
+    PlatformOut: _handle_unavailable,
+    Uncertain: _handle_uncertain,
 }
 
 
 async def sweep_claims(instance: Instance) -> None:
-    """Delete old claims, a part of the table at a time, for as long as it runs."""
+    """Delete expired claims periodically, one part of the table at a time."""
     while True:
-        await asyncio.sleep(SWEEP_S * instance.generator.uniform(0.5, 1.5))
+        await asyncio.sleep(SWEEP_INTERVAL_S * instance.generator.uniform(0.5, 1.5))
         await sweep_part(instance, f"{instance.generator.randrange(256):02x}")
 
 
 async def sweep_part(instance: Instance, prefix: str) -> int:
-    """Delete the old claims of one part of the table; return how many."""
+    """Delete the expired claims of one part of the table; return their number."""
     rows = await list_rows(instance.platform, TABLE, prefix)
     if isinstance(rows, PlatformOut):
         return 0
-    horizon = instance.read_wall_clock() - KEEP_S
-    old = [row for row in rows if unpack_claim(row.value).claimed_at < horizon]
-    old = old[:MOST_AT_ONCE]
+    cutoff = instance.read_wall_clock() - CLAIM_RETENTION_S
+    old = [row for row in rows if unpack_claim(row.value).claimed_at < cutoff]
+    old = old[:MAX_CLAIMS_PER_TRANSACTION]
     if not old:
         return 0
     result = await transact(
--- a/packages/instance/fulmarward/keys/_home.py
+++ b/packages/instance/fulmarward/keys/_home.py
@@ -1,10 +1,10 @@
-"""The home of a key: claiming it, dispatching under its witness, ending it."""
+"""The home of a key: claims it, confirms dispatches with its witness, and ends it."""
 
 import asyncio
 
 from fulmarward._instance import Instance
 from fulmarward.answers import Answer
-from fulmarward.keys._witness import ask_record, send_note
+from fulmarward.keys._witness import request_record, send_note
 from fulmarward.observability import log_event
 from fulmarward.requests import Confirm, Work, run_completion
 from fulmarward_core.keys import (
@@ -21,20 +21,20 @@
 from fulmarward_core.results import Failure, ResultCode, make_failure
 from fulmarward_core.routing import TargetView
 
-#: Seconds that may pass between asking the witness and dispatching. It bounds the
-#: pause after which a home still dispatches on an old word; what stays is a pause
-#: between this check and the write to the target, and for it a taker closes the
-#: stream's name at the target before it says "not run".
-FRESH_S = 1.0
+#: Seconds for which the witness's confirmation permits a dispatch. This limits
+#: how long a home may pause and still dispatch on an old confirmation. A pause between
+#: this check and the write to the target remains possible; an instance that takes the
+#: key over therefore closes the stream at the target before it reports "not run".
+MAX_CONFIRMATION_AGE_S = 1.0
 
-#: Seconds from the first token until the witness hears of it. Load: short answers;
-#: harm: a message for each; reason: their end is told anyway.
-BEGIN_AFTER_S = 0.25
+#: Seconds after the first token until the witness is notified of it. Saves a message
+#: for each short answer, whose end is reported anyway.
+BEGIN_NOTE_DELAY_S = 0.25
 
-#: Times that the witness is asked for one attempt.
-MOST_QUESTIONS = 3
+#: Requests to the witness for one attempt.
+MAX_CONFIRMATION_TRIES = 3
 
-#: When a caller may come back, in milliseconds.
+#: Milliseconds after which a caller may retry.
 RETRY_AFTER_MS = 1_000
 
 _CLAIM_CODES = {
@@ -56,8 +56,8 @@
 ) -> tuple[KeyEntry | None, bool, Failure | None]:
     """Claim a key at its home.
 
-    Returns its entry, whether the request is new, and the failure to tell when
-    there is neither an answer nor a request to execute.
+    Returns its entry, whether the request is new, and the failure to report if there
+    is neither an answer nor a request to execute.
     """
     claim, entry = claim_key(
         instance.key_table,
@@ -76,7 +76,7 @@
 
 
 def find_home_refusal(instance: Instance) -> Failure | None:
-    """Return why no new request begins here. It is final for the key that meets it."""
+    """Return why this instance starts no new request; the failure ends the key."""
     if instance.lifecycle.state in ("stopping", "stopped"):
         return make_failure(ResultCode.STOPPING, retry_after_ms=RETRY_AFTER_MS)
     if instance.lifecycle.state != "serving" or instance.has_paused():
@@ -94,9 +94,10 @@
     request: str,
     stream_layers: tuple[int, int] | None,
 ) -> Confirm:
-    """Return the question that precedes each dispatch of a request.
+    """Return the check that runs before each dispatch of a request.
 
-    A target with `stream_layers` has a stream that others can resume and close.
+    A target that has `stream_layers` holds a stream that other instances can resume
+    and close.
     """
 
     async def confirm(attempt: int, view: TargetView) -> Failure | None:
@@ -109,12 +110,12 @@
             has_stream=view.target.layers == stream_layers,
         )
         verdict = None
-        for _ in range(MOST_QUESTIONS):
+        for _ in range(MAX_CONFIRMATION_TRIES):
             asked_at = instance.read_pause_clock()
-            verdict = await ask_record(
+            verdict = await request_record(
                 instance, key, body_hash=body_hash, request=request, place=place
             )
-            is_fresh = instance.read_pause_clock() - asked_at <= FRESH_S
+            is_fresh = instance.read_pause_clock() - asked_at <= MAX_CONFIRMATION_AGE_S
             if verdict is not RecordVerdict.KEPT or is_fresh:
                 break
             verdict = None
@@ -136,7 +137,7 @@
 def open_at_home(
     instance: Instance, work: Work, key: HandedKey, body_hash: str
 ) -> Answer:
-    """Return the answer of a key whose home this is, executing a new request."""
+    """Return the answer of a key at its home, executing the request if it is new."""
     entry, is_new, failure = claim_call(
         instance, key, team=work.team, request=work.request, body_hash=body_hash
     )
@@ -168,7 +169,7 @@
 def end_refused(
     instance: Instance, key: HandedKey, body_hash: str, failure: Failure
 ) -> None:
-    """End a key before anything was done under it, with what its callers are told."""
+    """End a key under which nothing ran, with the failure that its callers get."""
     claim_key(
         instance.key_table,
         key.text,
@@ -200,10 +201,10 @@
 async def _run(
     instance: Instance, work: Work, answer: Answer, key: HandedKey, body_hash: str
 ) -> None:
-    """Execute a request under its key. The key ends with whatever its caller is told.
+    """Execute a request under its key; the key ends with the result that callers get.
 
-    A request that was refused is not tried again under its key: a caller that was
-    told "not run" may have taken a new key, and a late repeat would run it twice.
+    A refused request is not retried under its key: a caller that was told "not run"
+    may have sent it under a new key, and a late repeat would run it twice.
     """
     layers = work.snapshot.declaration.models[work.pipeline.model].layers
     confirm = make_confirmation(
@@ -213,7 +214,7 @@
         request=work.request,
         stream_layers=(0, layers),
     )
-    watching = asyncio.create_task(_tell_beginning(instance, key, answer))
+    watching = asyncio.create_task(_report_begin(instance, key, answer))
     instance.keep_task(watching)
     try:
         await run_completion(instance, work, answer, confirm)
@@ -229,15 +230,15 @@
     await send_note(instance, key, RecordStep.END, failure=answer.failure)
 
 
-async def _tell_beginning(instance: Instance, key: HandedKey, answer: Answer) -> None:
-    """Tell the witness when a target has begun, unless it is soon over.
+async def _report_begin(instance: Instance, key: HandedKey, answer: Answer) -> None:
+    """Notify the witness that a target has begun, unless the answer ends soon.
 
-    Guards against an engine that forgot a stream which it ran, when the home is gone:
-    it would close the name of the stream as if it had not begun.
+    An engine may have dropped the stream of a request that it ran. If the home is gone
+    by then, closing the stream would succeed as if the request had never begun.
     """
     while not answer.texts:
         if answer.is_over:
             return
         await answer.changed.wait()
-    await asyncio.sleep(BEGIN_AFTER_S)
+    await asyncio.sleep(BEGIN_NOTE_DELAY_S)
     await send_note(instance, key, RecordStep.BEGIN)
--- a/packages/instance/fulmarward/keys/_prefixes.py
+++ b/packages/instance/fulmarward/keys/_prefixes.py
@@ -1,4 +1,4 @@
-"""Handing out key prefixes, and reading the keys that come back."""
+"""Issues key prefixes and parses the keys that callers send back."""
 
 import hashlib
 
@@ -12,77 +12,81 @@
 )
 from fulmarward_core.membership import Incarnation, Member, list_usable
 
-_PURPOSE = "idempotency-keys"
+_SECRET_PURPOSE = "idempotency-keys"
 
-#: Letters of a digest, 128 bits. Load: three messages for each keyed request; harm:
-#: the 190 letters of a whole key in each; reason: past any chance of two alike.
-DIGEST_LETTERS = 32
+#: Length of a digest, 128 bits, which rules out collisions. Each keyed request sends
+#: three messages; a whole key would add 190 characters to each.
+DIGEST_HEX_DIGITS = 32
 
 
-def _list_others(instance: Instance) -> list[Member]:
-    """Return usable members whose present run is known; a listed one has boot 0."""
+def _list_other_members(instance: Instance) -> list[Member]:
+    """Return other usable members whose boot is known; boot 0 means listed only."""
     own = instance.settings.name
     usable = list_usable(instance.members)
     return [member for member in usable if member.name != own and member.boot > 0]
 
 
-def _pick(instance: Instance, members: list[Member], home: Member) -> Member | None:
-    """Return a member, in another data centre than `home` if there is one.
+def _choose_witness(
+    instance: Instance, members: list[Member], home: Member
+) -> Member | None:
+    """Return a witness, from another data centre than `home` if there is one.
 
-    Guards against the loss of a data centre: with both keepers in it nobody could
-    tell any more whether a request ran.
+    If home and witness shared a data centre, its loss would leave no record of
+    whether a request ran.
     """
     members = [member for member in members if member.name != home.name]
-    far = [member for member in members if member.data_centre != home.data_centre]
-    candidates = far or members
+    remote = [member for member in members if member.data_centre != home.data_centre]
+    candidates = remote or members
     return instance.generator.choice(candidates) if candidates else None
 
 
-def _identify(member: Member) -> Incarnation:
+def _get_incarnation(member: Member) -> Incarnation:
     return Incarnation(name=member.name, boot=member.boot)
 
 
 def mint_prefix(instance: Instance, team: str) -> str:
-    """Return a fresh prefix for `team`; this instance is its home while it serves."""
-    others = _list_others(instance)
+    """Return a new prefix for `team`, with this instance as home while it serves."""
+    others = _list_other_members(instance)
     home = instance.member
     if instance.lifecycle.state != "serving" and others:
         home = instance.generator.choice(others)
-    witness = _pick(instance, others, home)
+    witness = _choose_witness(instance, others, home)
     lifetime_s = instance.settings.limits.key_ms / 1000
     prefix = KeyPrefix(
-        home=_identify(home),
-        witness=_identify(witness) if witness else None,
+        home=_get_incarnation(home),
+        witness=_get_incarnation(witness) if witness else None,
         expires_at=round(instance.read_wall_clock() + lifetime_s, 3),
     )
-    return seal_prefix(prefix, team=team, secret=instance.secrets.derive_key(_PURPOSE))
+    return seal_prefix(
+        prefix, team=team, secret=instance.secrets.derive_key(_SECRET_PURPOSE)
+    )
 
 
 def mint_key(instance: Instance, team: str) -> HandedKey:
-    """Return a key for a request that may run once and came without one."""
+    """Return a key for a non-idempotent request that came without one."""
     suffix = f"{instance.generator.getrandbits(80):020x}"
     key = read_key(instance, team, mint_prefix(instance, team) + suffix)
     if not isinstance(key, HandedKey):
-        raise AssertionError("expected a key minted here to open here")
+        raise AssertionError("a key issued by this instance could not be opened")
     return key
 
 
 def read_key(
     instance: Instance, team: str, text: str
 ) -> HandedKey | InventedKey | None:
-    """Return what a key is; `None` for one that this team cannot use."""
-    secrets = instance.secrets.derive_keys(_PURPOSE)
+    """Return the parsed key, `None` if this team cannot use it."""
+    secrets = instance.secrets.derive_keys(_SECRET_PURPOSE)
     return open_key(text, team=team, secrets=secrets)
 
 
 def hold_here(instance: Instance, team: str, key: InventedKey) -> HandedKey:
-    """Return an invented key of an idempotent request as one that is kept here only.
+    """Return a local key for the client-generated key of an idempotent request.
 
-    A repeat at this instance gets the same answer; one elsewhere runs again.
+    A repeat at this instance gets the same answer; a repeat elsewhere runs again.
     """
     lifetime_s = instance.settings.limits.key_ms / 1000
     prefix = KeyPrefix(
-        home=_identify(instance.member),
+        home=_get_incarnation(instance.member),
         witness=None,
         expires_at=instance.read_wall_clock() + lifetime_s,
     )
@@ -90,30 +94,30 @@
 
 
 def hash_body(*parts: str | bytes) -> str:
-    """Return the hash by which a key's repeats are known to be the same call."""
+    """Return the hash by which repeats of a key are recognised as the same call."""
     digest = hashlib.sha256()
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
         digest.update(len(data).to_bytes(8, "big"))
         digest.update(data)
-    return digest.hexdigest()[:DIGEST_LETTERS]
+    return digest.hexdigest()[:DIGEST_HEX_DIGITS]
 
 
 def identify_key(key: HandedKey) -> str:
-    """Return the short name of a key between its home and its witness."""
-    return hashlib.sha256(key.text.encode()).hexdigest()[:DIGEST_LETTERS]
+    """Return the digest that identifies a key between its home and its witness."""
+    return hashlib.sha256(key.text.encode()).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
 def is_home(instance: Instance, key: HandedKey) -> bool:
-    """Return whether this run of this instance is the key's home."""
-    return key.prefix.home == _identify(instance.member)
+    """Return whether this incarnation of the instance is the key's home."""
+    return key.prefix.home == _get_incarnation(instance.member)
 
 
 def find_address(instance: Instance, incarnation: Incarnation) -> str | None:
-    """Return where peers reach an incarnation; `None` when it is known to be gone.
+    """Return the peer address of an incarnation, `None` if it is known to be gone.
 
-    Guards against a restarted instance that is taken for its predecessor: it has
-    the name and the address but none of its tables, and another boot.
+    A restarted instance must not be taken for its previous incarnation: it has the
+    same name and address, but another boot number and empty tables.
     """
     member = instance.members.members.get(incarnation.name)
     is_same = member is not None and member.boot == incarnation.boot
--- a/packages/instance/fulmarward/keys/_relay.py
+++ b/packages/instance/fulmarward/keys/_relay.py
@@ -1,4 +1,4 @@
-"""Reading a key's answer at an instance that is not its home."""
+"""Relays a key's answer from its home to a caller of another instance."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -22,28 +22,30 @@
 from fulmarward_core.membership import Member
 from fulmarward_core.results import ResultCode, make_failure
 
-#: Seconds without a word from the home after which it is held to be gone. Harm: a
-#: caller waits on a frozen home; reason: its sign of life comes three times as often.
-SILENCE_S = 1.5
+#: Seconds without a message after which the home is considered lost, so that callers do
+#: not wait for a frozen home. Heartbeats come three times as often.
+HOME_TIMEOUT_S = 1.5
 
-#: Seconds between two signs of life of the home.
-SIGN_S = 0.5
+#: Seconds between two heartbeats of the home.
+HEARTBEAT_INTERVAL_S = 0.5
 
-#: Seconds past a request's deadline in which the home says how it ended.
-GRACE_S = 1.0
+#: Seconds after a request's deadline within which the home reports its end.
+DEADLINE_GRACE_S = 1.0
 
 
 async def forward_answer(
     instance: Instance, peer: Member, message: ForwardCompletion
 ) -> AsyncIterator[object]:
-    """Answer a forwarded completion as the home of its key."""
+    """Handle a forwarded completion at the home of its key."""
     check_boot(instance, message.boot)
     key = read_key(instance, message.team, message.key)
     if not isinstance(key, HandedKey) or not is_home(instance, key):
         raise MessageFault("expected a key of this instance")
     pipeline = instance.snapshot.declaration.pipelines.get(message.pipeline)
     if pipeline is None:
-        failure = make_failure(ResultCode.KEY_NOT_ASKED, "The home lags behind.")
+        failure = make_failure(
+            ResultCode.KEY_NOT_ASKED, "The home does not know this pipeline yet."
+        )
         yield AnswerEnd(end="", failure=failure)
         return
     work = Work(
@@ -64,7 +66,7 @@
 
 
 async def _read_parts(instance: Instance, answer: Answer) -> AsyncIterator[object]:
-    """Yield an answer's events as they come, and signs of life in between."""
+    """Yield an answer's events as they come, and heartbeats in between."""
     sent = 0
     answer.readers += 1
     try:
@@ -87,7 +89,7 @@
 
 async def _wait_for(changed: asyncio.Event) -> None:
     try:
-        async with asyncio.timeout(SIGN_S):
+        async with asyncio.timeout(HEARTBEAT_INTERVAL_S):
             await changed.wait()
     except TimeoutError:
         return
@@ -96,7 +98,7 @@
 async def open_relayed(
     instance: Instance, work: Work, key: HandedKey, body_hash: str
 ) -> Answer:
-    """Return the answer of a key whose home is elsewhere, once its request is known."""
+    """Return the answer of a key with another home, once its request id is known."""
     answer = Answer(request="", team=work.team, prompt_tokens=len(work.prompt.split()))
     running = _run(instance, work, answer, key, body_hash)
     instance.keep_task(asyncio.create_task(running))
@@ -112,7 +114,7 @@
     instance: Instance, work: Work, answer: Answer, key: HandedKey, body_hash: str
 ) -> None:
     answer.task = asyncio.current_task()
-    timeout_s = work.deadline - instance.read_clock() + GRACE_S
+    timeout_s = work.deadline - instance.read_clock() + DEADLINE_GRACE_S
     try:
         async with asyncio.timeout(max(timeout_s, 0.0)):
             if not await _read_home(instance, work, answer, key, body_hash):
@@ -127,10 +129,10 @@
 async def _read_home(
     instance: Instance, work: Work, answer: Answer, key: HandedKey, body_hash: str
 ) -> bool:
-    """Copy the home's answer; return whether it came to its end."""
+    """Copy the home's answer; return whether it is complete."""
     address = find_address(instance, key.prefix.home)
     if address is None or instance.links is None:
-        _note_lost(work, key, "the home is another run or unknown")
+        _log_home_lost(work, key, "the home has restarted or is unknown")
         return False
     remaining_s = work.deadline - instance.read_clock()
     message = ForwardCompletion(
@@ -145,25 +147,25 @@
         deadline_ms=max(1, round(remaining_s * 1000)),
     )
     try:
-        async for item in instance.links.stream(address, message, SILENCE_S):
+        async for item in instance.links.stream(address, message, HOME_TIMEOUT_S):
             if isinstance(item, AnswerEnd):
                 _end(answer, item)
                 return True
-            _take_part(answer, item)
+            _add_part(answer, item)
     except PeerLost as lost:
-        _note_lost(work, key, str(lost))
+        _log_home_lost(work, key, str(lost))
         return False
-    _note_lost(work, key, "the answer had no end")
+    _log_home_lost(work, key, "the answer was incomplete")
     return False
 
 
-def _note_lost(work: Work, key: HandedKey, reason: str) -> None:
+def _log_home_lost(work: Work, key: HandedKey, reason: str) -> None:
     log_event(
         "home_lost", request=work.request, home=key.prefix.home.name, reason=reason
     )
 
 
-def _take_part(answer: Answer, part: AnswerPart) -> None:
+def _add_part(answer: Answer, part: AnswerPart) -> None:
     answer.request = part.request
     if part.locator and not answer.locator:
         answer.locator = part.locator
--- a/packages/instance/fulmarward/keys/_takeover.py
+++ b/packages/instance/fulmarward/keys/_takeover.py
@@ -1,10 +1,10 @@
-"""Going on without a key's home, by what its witness and the targets know."""
+"""Takes over a key whose home is unreachable, from its witness and the targets."""
 
 from dataclasses import replace
 
 from fulmarward._instance import Instance
 from fulmarward.answers import Answer
-from fulmarward.keys._witness import ask_take, send_note
+from fulmarward.keys._witness import request_takeover, send_note
 from fulmarward.observability import log_event
 from fulmarward.peers import KeyTaken
 from fulmarward.requests import Work, make_locator, name_reader
@@ -28,8 +28,8 @@
 from fulmarward_core.results import Failure, Ran, ResultCode, make_failure
 from fulmarward_core.streams import Stage
 
-#: Times that a broken connection to a running stream is made anew.
-MOST_REATTACHES = 3
+#: Times that a broken connection to a running stream is reopened.
+MAX_RECONNECTS = 3
 
 _CONCLUSION_CODES = {
     Conclusion.NOT_RUN: ResultCode.KEY_CLOSED,
@@ -41,8 +41,11 @@
 async def take_key_over(
     instance: Instance, key: HandedKey, *, request: str, body_hash: str
 ) -> tuple[Conclusion, KeyTaken, Failure | None]:
-    """Ask the witness; return what follows, what it knows, and a failure to tell."""
-    taken = await ask_take(instance, key, body_hash)
+    """Take the key over at its witness.
+
+    Returns the conclusion, the witness's reply and the failure for the caller, if any.
+    """
+    taken = await request_takeover(instance, key, body_hash)
     record = taken.record
     conclusion = conclude_take(record)
     log_event(
@@ -65,7 +68,7 @@
 async def take_over(
     instance: Instance, work: Work, answer: Answer, key: HandedKey, body_hash: str
 ) -> None:
-    """End `answer` without the home: with the engine's own stream, or the truth."""
+    """Finish `answer` without the home: from the engine's stream or with a failure."""
     conclusion, taken, failure = await take_key_over(
         instance, key, request=work.request, body_hash=body_hash
     )
@@ -76,11 +79,11 @@
         work = replace(work, request=taken.record.request)
         failure = await _resume(instance, work, answer, key, taken)
     if failure is not None:
-        answer.fail(_check_failure(answer, failure))
+        answer.fail(_adjust_failure(answer, failure))
 
 
-def _check_failure(answer: Answer, failure: Failure) -> Failure:
-    """Return a failure that fits the events the caller already has."""
+def _adjust_failure(answer: Answer, failure: Failure) -> Failure:
+    """Replace a "not run" failure if the caller has already received events."""
     if answer.texts and failure.ran is Ran.NOT_RUN:
         return make_failure(ResultCode.STREAM_LOST)
     return failure
@@ -93,11 +96,11 @@
     key: HandedKey,
     taken: KeyTaken,
 ) -> Failure | None:
-    """Read the stream of the latest attempt that has one, or close all of them."""
+    """Read the latest attempt's stream that still exists, or close all streams."""
     record = taken.record
     replies = []
     for place in list_closable(record.places):
-        end = await _read_place(instance, work, answer, key, place)
+        end = await _read_attempt(instance, work, answer, key, place)
         if end in ("stop", "length"):
             answer.finish(end)
             return None
@@ -121,15 +124,15 @@
     return make_failure(code)
 
 
-async def _read_place(
+async def _read_attempt(
     instance: Instance,
     work: Work,
     answer: Answer,
     key: HandedKey,
     place: AttemptPlace,
 ) -> str:
-    """Copy an attempt's stream into the answer; return its end, empty for none."""
-    for _ in range(MOST_REATTACHES + 1):
+    """Copy an attempt's stream into the answer; return its end, empty without one."""
+    for _ in range(MAX_RECONNECTS + 1):
         stream = await resume_stream(
             instance.session,
             place.address,
--- a/packages/instance/fulmarward/keys/_witness.py
+++ b/packages/instance/fulmarward/keys/_witness.py
@@ -1,4 +1,4 @@
-"""Asking a key's witness, and answering as one."""
+"""Messages to and from the witness of a key."""
 
 from fulmarward._instance import Instance
 from fulmarward.keys._prefixes import find_address, identify_key
@@ -26,21 +26,22 @@
 from fulmarward_core.membership import Incarnation, Member
 from fulmarward_core.results import Failure
 
-#: Seconds that a witness has to answer. Harm: a request waits for a lost witness
-#: before its caller hears "not run"; reason: instances are milliseconds apart, and a
-#: paused one is not worth waiting for.
-ANSWER_S = 1.0
+#: Seconds that a witness has to reply. A request waits this long for a lost witness
+#: before its caller is told "not run". The round trip between instances takes
+#: milliseconds; a longer timeout would only wait for paused instances.
+REPLY_TIMEOUT_S = 1.0
 
-#: Seconds added to the age of a record. Guards against clocks of instance and engine
-#: that go at different rates: an engine that started just after the record counts as
-#: restarted since.
+#: Seconds added to the age of a record, since the clocks of instance and engine may run
+#: at different rates. An engine that started shortly before the record then counts as
+#: restarted since the record.
 AGE_MARGIN_S = 1.0
 
 
 def check_boot(instance: Instance, boot: int) -> None:
-    """Refuse what is meant for an earlier run of this instance.
+    """Reject a message that is addressed to an earlier incarnation of this instance.
 
-    Guards against a restarted instance that speaks for its predecessor's table.
+    A restarted instance does not have the tables of its previous incarnation and must
+    not answer from its own.
     """
     if boot != instance.member.boot:
         raise MessageFault(f"expected boot {instance.member.boot}, found {boot}")
@@ -49,7 +50,7 @@
 async def answer_record(
     instance: Instance, peer: Member, message: RecordAttempt
 ) -> AttemptRecorded:
-    """Record an attempt as its witness."""
+    """Record an attempt in the witness table."""
     check_boot(instance, message.boot)
     verdict = record_attempt(
         instance.witness_table,
@@ -67,7 +68,7 @@
 
 
 async def answer_take(instance: Instance, peer: Member, message: TakeKey) -> KeyTaken:
-    """Let another instance take a key over."""
+    """Handle a request of another instance to take a key over."""
     check_boot(instance, message.boot)
     record = take_key(
         instance.witness_table,
@@ -87,7 +88,7 @@
 
 
 async def answer_note(instance: Instance, peer: Member, message: NoteKey) -> Nothing:
-    """Note what became of a request."""
+    """Record the progress or outcome of a request in the witness table."""
     check_boot(instance, message.boot)
     note_record(
         instance.witness_table,
@@ -101,15 +102,15 @@
     return Nothing()
 
 
-_NOTHING_KNOWN = KeyTaken(record=None, age_s=0.0)
+_NO_RECORD = KeyTaken(record=None, age_s=0.0)
 
 _HANDLERS = {RecordAttempt: answer_record, TakeKey: answer_take, NoteKey: answer_note}
 
 
-async def _ask(
+async def _call_witness(
     instance: Instance, witness: Incarnation, message: object
 ) -> object | None:
-    """Return the witness's answer, or `None` when there is none."""
+    """Return the witness's reply, `None` if there is none."""
     if witness.name == instance.settings.name:
         if witness.boot != instance.member.boot:
             return None
@@ -118,13 +119,13 @@
     if address is None or instance.links is None:
         return None
     try:
-        return await instance.links.call(address, message, ANSWER_S)
+        return await instance.links.call(address, message, REPLY_TIMEOUT_S)
     except PeerLost as lost:
         log_event("witness_lost", witness=witness.name, reason=str(lost))
         return None
 
 
-async def ask_record(
+async def request_record(
     instance: Instance,
     key: HandedKey,
     *,
@@ -132,7 +133,7 @@
     request: str,
     place: AttemptPlace,
 ) -> RecordVerdict | None:
-    """Have an attempt recorded; `None` when the witness does not answer."""
+    """Have the witness record an attempt; `None` if it does not reply."""
     witness = key.prefix.witness
     message = RecordAttempt(
         boot=witness.boot,
@@ -142,23 +143,25 @@
         request=request,
         place=place,
     )
-    answer = await _ask(instance, witness, message)
+    answer = await _call_witness(instance, witness, message)
     return answer.verdict if answer else None
 
 
-async def ask_take(instance: Instance, key: HandedKey, body_hash: str) -> KeyTaken:
-    """Take a key over; without a record when nobody can tell."""
+async def request_takeover(
+    instance: Instance, key: HandedKey, body_hash: str
+) -> KeyTaken:
+    """Take a key over; the result has no record if no witness replies."""
     witness = key.prefix.witness
     if witness is None:
-        return _NOTHING_KNOWN
+        return _NO_RECORD
     message = TakeKey(
         boot=witness.boot,
         key=identify_key(key),
         body_hash=body_hash,
         expires_at=key.prefix.expires_at,
     )
-    answer = await _ask(instance, witness, message)
-    return answer or _NOTHING_KNOWN
+    answer = await _call_witness(instance, witness, message)
+    return answer or _NO_RECORD
 
 
 async def send_note(
@@ -169,7 +172,7 @@
     failure: Failure | None = None,
     answer: ResultCopy | None = None,
 ) -> bool:
-    """Tell the witness what became of a request; return whether it heard."""
+    """Report a request's progress or outcome; return whether the witness replied."""
     witness = key.prefix.witness
     if witness is None:
         return False
@@ -180,4 +183,4 @@
         failure=failure,
         answer=answer,
     )
-    return await _ask(instance, witness, message) is not None
+    return await _call_witness(instance, witness, message) is not None
--- a/packages/instance/fulmarward/keys/tests/callers.py
+++ b/packages/instance/fulmarward/keys/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers of tests that know which instances keep their keys."""
+"""Helpers for tests that choose the home and witness of a key."""
 
 import hashlib
 import hmac
@@ -15,7 +15,7 @@
 
 
 async def get_key(fleet, home, witness, suffix):
-    """Ask `home` for prefixes until one names `witness`."""
+    """Request prefixes from `home` until one names `witness`."""
 
     async def ask():
         prefix = (await fleet.call(home, "/discovery")).body["idempotency_key_prefix"]
--- a/packages/instance/fulmarward/keys/tests/test_calls.py
+++ b/packages/instance/fulmarward/keys/tests/test_calls.py
@@ -37,7 +37,7 @@
             await self.check_repeats(fleet)
 
     async def wait_open(self, fleet):
-        """Wait until no replica is avoided by the instances for what it did."""
+        """Wait until no instance avoids a replica because of earlier failures."""
 
         async def are_open():
             calls = [
@@ -46,11 +46,11 @@
             ]
             return all(result.status == 200 for result in await asyncio.gather(*calls))
 
-        await wait_until(are_open, "open replicas")
+        await wait_until(are_open, "replicas to be usable again")
 
     async def check_paths(self, fleet):
-        # A read whose reply is lost is made again on the other replica; a path that
-        # only looks like one that may be repeated is refused before anything runs.
+        # A read whose reply is lost is retried on the other replica. A path that only
+        # resembles an idempotent one is refused before anything runs.
         await fleet.control_target("s1", lose_replies=1)
         results = [
             await fleet.call("i1", "/services/callsheet/sheet?day=a%26b")
@@ -59,14 +59,14 @@
         self.assertEqual([result.status for result in results], [200] * 4)
         self.assertEqual(results[0].body["path"], "/sheet")
         runs = await self.count_runs(fleet)
-        told = await fleet.call("i1", "/services/callsheet/a%2F..%2Fmoves")
-        self.assertEqual(told.body["result"], 1011)
+        refused = await fleet.call("i1", "/services/callsheet/a%2F..%2Fmoves")
+        self.assertEqual(refused.body["result"], 1011)
         self.assertEqual(await self.count_runs(fleet), runs)
 
     async def check_lost_reply(self, fleet):
-        # A unit move is written twice: its reply is lost, the caller repeats it.
-        # Nobody can tell whether it ran, and every repeat has to say just that. The
-        # HTTP library makes a PUT again by itself, as if any could run twice.
+        # A non-idempotent call runs twice: its reply is lost and the caller repeats
+        # it. Its outcome is unknown, and every repeat must say so. The HTTP library
+        # retries a PUT by itself, as if every PUT were idempotent.
         for method in ("POST", "PUT"):
             with self.subTest(method=method):
                 await self.wait_open(fleet)
@@ -83,9 +83,9 @@
                 self.assertEqual(await self.count_runs(fleet), runs + 1)
 
     async def check_repeats(self, fleet):
-        # The same move is sent to three instances at once; then its home dies and the
-        # caller, which lost the answer, asks again elsewhere. A call that was running
-        # when its home died is unknown for ever.
+        # The same call is sent to three instances at once. Then its home is killed and
+        # the caller, which lost the answer, repeats it elsewhere. The outcome of a call
+        # that was running when its home was killed stays unknown.
         await self.wait_open(fleet)
         runs = await self.count_runs(fleet)
         key = await get_key(fleet, "i1", "i2", "move")
--- a/packages/instance/fulmarward/keys/tests/test_claims.py
+++ b/packages/instance/fulmarward/keys/tests/test_claims.py
@@ -6,7 +6,7 @@
 import aiohttp
 from aiohttp.test_utils import TestServer
 
-from fulmarward.keys._claims import KEEP_S, sweep_part
+from fulmarward.keys._claims import CLAIM_RETENTION_S, sweep_part
 from fulmarward.platform import Platform, Write, list_rows, transact
 from fulmarward_standins.harness import start_fleet
 from fulmarward_standins.platform import PlatformSpec, make_platform_app
@@ -25,10 +25,10 @@
         entries = await fleet.read_ledgers()
         return sum(entry["event"] == "began" for entry in entries)
 
-    async def test_invented_keys_run_once(self):
-        # A caller that keeps its own keys sends one to three instances at once, and
-        # each begins the request. Then the reply of the claim's write is lost, and
-        # the instance takes its own row for another's or writes it again.
+    async def test_client_generated_keys_run_once(self):
+        # A caller sends a key of its own to three instances at once, and each of them
+        # executes the request. Later the reply to a claim's write is lost, and the
+        # instance takes its own row for another's or writes it again.
         async with start_fleet() as fleet:
             results = await asyncio.gather(
                 *(_call(fleet, name, "move-4711") for name in ("i1", "i2", "i3", "i1"))
@@ -52,17 +52,17 @@
 
     async def check_outage(self, fleet):
         await fleet.control_platform(outage=True)
-        told = await _call(fleet, "i1", "during-outage")
-        found = (told.body["result"], told.body["ran"])
-        self.assertEqual(found, (2009, "not_run"), json.dumps(told.body))
-        self.assertIn("X-Idempotency-Key-Prefix", told.headers)
+        refused = await _call(fleet, "i1", "during-outage")
+        found = (refused.body["result"], refused.body["ran"])
+        self.assertEqual(found, (2009, "not_run"), json.dumps(refused.body))
+        self.assertIn("X-Idempotency-Key-Prefix", refused.headers)
         known = await _call(fleet, "i2", "move-4711")
         self.assertEqual(known.status, 200)
         self.assertEqual(await self.count_runs(fleet), 3)
 
 
 class SweepTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_sweep_deletes_old_claims_of_its_part_alone(self):
+    async def test_sweep_deletes_only_expired_claims_of_its_part(self):
         server = TestServer(make_platform_app(PlatformSpec()))
         await server.start_server()
         async with aiohttp.ClientSession() as session:
@@ -78,7 +78,7 @@
             ]
             await transact(platform, conditions=[], writes=writes)
             instance = SimpleNamespace(
-                platform=platform, read_wall_clock=lambda: KEEP_S + 5.0
+                platform=platform, read_wall_clock=lambda: CLAIM_RETENTION_S + 5.0
             )
             deleted = [await sweep_part(instance, part) for part in ("aa", "aa")]
             left = await list_rows(platform, "claims")
--- a/packages/instance/fulmarward/keys/tests/test_processes.py
+++ b/packages/instance/fulmarward/keys/tests/test_processes.py
@@ -20,7 +20,7 @@
 
 
 class _Reader:
-    """A caller that reads a stream and may wait for its first token."""
+    """Reads a stream in a task; `has_begun` is set at its first token."""
 
     def __init__(self, fleet, instance, key):
         self.texts, self.is_whole = [], False
@@ -51,10 +51,9 @@
         self.assertEqual(found, (code, ran), result.body)
 
     async def test_repeats_at_other_instances_run_once(self):
-        # A unit move appears twice in the call sheet: the caller's connection hangs,
-        # its library sends the same call to two other addresses, and each instance
-        # executes it. Later the home is killed in the middle of a stream. The store
-        # is out all the while.
+        # A request runs twice: the caller's connection hangs, its library sends the
+        # same call to two other addresses, and each instance executes it. Later the
+        # home is killed in the middle of a stream. The store is unavailable throughout.
         async with start_fleet() as fleet:
             await fleet.control_platform(outage=True)
             key = await get_key(fleet, "i1", "i2", "twice")
@@ -88,16 +87,16 @@
         self.assertEqual(relayed.texts, late.texts)
         self.assertEqual(await self.count_runs(fleet), 2)
 
-    async def test_a_paused_home_wakes_and_runs_nothing(self):
+    async def test_paused_home_runs_nothing_after_it_resumes(self):
         # A caller is told "not run" and sends its request under a new key, and both
-        # run: the home was paused before it dispatched, another instance closed the
-        # key, and the home went on where it stood when it woke.
+        # run: the home is paused before its dispatch, another instance closes the key,
+        # and the home dispatches when it resumes.
         async with start_fleet() as fleet:
             await fleet.control_platform(outage=True)
             key = await get_key(fleet, "i1", "i2", "paused")
             fleet.processes["i1"].send(signal.SIGSTOP)
-            told = await _call(fleet, "i3", key)
-            self.check_result(told, 2008, "not_run")
+            refused = await _call(fleet, "i3", key)
+            self.check_result(refused, 2008, "not_run")
             fleet.processes["i1"].send(signal.SIGCONT)
             await fleet.wait_ready("i1")
 
@@ -106,17 +105,18 @@
                 return result if result.body["result"] != 2013 else None
 
             self.check_result(
-                await wait_until(ask_home, "the home's word"), 2008, "not_run"
+                await wait_until(ask_home, "the home to answer"), 2008, "not_run"
             )
             self.assertEqual(await self.count_runs(fleet), 0)
-            prefix = told.headers["X-Idempotency-Key-Prefix"]
+            prefix = refused.headers["X-Idempotency-Key-Prefix"]
             again = await _call(fleet, "i2", f"{prefix}again")
             self.assertEqual(again.status, 200, again.body)
             self.assertEqual(await self.count_runs(fleet), 1)
 
-    async def test_a_lost_witness(self):
-        # Every repeat is answered "unknown", though nothing ran: the witness is gone
-        # before it acknowledged, and the home dispatched or kept silent about it.
+    async def test_lost_witness(self):
+        # Every repeat is answered "unknown" although nothing ran: the witness is lost
+        # before it acknowledges the attempt, and the home dispatches anyway or does not
+        # report the refusal.
         async with start_fleet() as fleet:
             await fleet.control_platform(outage=True)
             key = await get_key(fleet, "i1", "i2", "unwitnessed")
@@ -124,9 +124,9 @@
             self.assertEqual((await _call(fleet, "i3", known)).status, 200)
             await fleet.processes["i2"].kill()
             for _ in range(2):
-                told = await _call(fleet, "i1", key)
-                self.check_result(told, 2007, "not_run")
-                self.assertIn("X-Idempotency-Key-Prefix", told.headers)
+                refused = await _call(fleet, "i1", key)
+                self.check_result(refused, 2007, "not_run")
+                self.assertIn("X-Idempotency-Key-Prefix", refused.headers)
             self.assertEqual(await self.count_runs(fleet), 1)
             self.assertEqual((await _call(fleet, "i3", known)).status, 200)
             await fleet.processes["i1"].kill()
