--- a/packages/instance/fulmarward/callers/__init__.py
+++ b/packages/instance/fulmarward/callers/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' edge: HTTP and JSON."""
+"""The HTTP interface for callers."""
 
 from fulmarward.callers._server import make_caller_app
 
--- a/packages/instance/fulmarward/callers/_authenticate.py
+++ b/packages/instance/fulmarward/callers/_authenticate.py
@@ -1,4 +1,4 @@
-"""Which team a caller's key belongs to."""
+"""Authenticates callers by their team's key."""
 
 import hashlib
 
@@ -12,8 +12,8 @@
 def authenticate_team(instance: Instance, request: web.Request) -> str:
     """Return the name of the team whose key the call carries.
 
-    Raises `CallerError` for a missing or wrong key. Keys stand in the declaration
-    as digests only, and the index of digests is as old as the snapshot.
+    Raises `CallerError` for a missing or wrong key. The declaration holds only digests
+    of keys; the index of digests is rebuilt with each snapshot.
     """
     scheme, _, key = request.headers.get("Authorization", "").partition(" ")
     digest = "sha256:" + hashlib.sha256(key.encode()).hexdigest()
--- a/packages/instance/fulmarward/callers/_bodies.py
+++ b/packages/instance/fulmarward/callers/_bodies.py
@@ -1,4 +1,4 @@
-"""Reading callers' bodies within bounds of size and time."""
+"""Reads and parses request bodies within limits of size and time."""
 
 import asyncio
 from dataclasses import dataclass
@@ -23,28 +23,26 @@
 )
 from fulmarward_core.results import ResultCode, make_failure
 
-#: Largest number of tokens that a body may ask for.
-MOST_TOKENS = 1_000_000
+#: Largest number of output tokens that a body may request.
+MAX_REQUEST_TOKENS = 1_000_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class CompletionBody:
-    """What a completion call asks for, whichever shape it came in."""
+    """A parsed completion request, independent of its JSON format."""
 
-    #: Name of the pipeline.
     pipeline: str
-    #: The prompt's text.
     prompt: str
-    #: Most tokens of the answer, `None` for the pipeline's own bound.
+    #: Maximum number of tokens of the answer, `None` for the pipeline's limit.
     max_tokens: int | None
-    #: Whether events are streamed.
+    #: Whether the answer is sent as server-sent events.
     stream: bool
     #: Whether a streamed answer ends with its token counts.
     include_usage: bool
 
 
 def _read_content(value: Any, where: str, faults: list[Fault]) -> str | None:  # noqa: ANN401
-    """Read a message's content: a text, or a list of text parts."""
+    """Return a message's content, given as a text or as a list of text parts."""
     if isinstance(value, str):
         return value
     parts = _READ_PARTS(value, where, faults)
@@ -63,11 +61,14 @@
     return value
 
 
-_TEXT = read_text(pattern=r"(?s).*")
+_READ_TEXT = read_text(pattern=r"(?s).*")
 _READ_PARTS = read_list_of(
     read_record(
         _make_part,
-        {"type": Field(read=read_one_of({"text": "text"})), "text": Field(read=_TEXT)},
+        {
+            "type": Field(read=read_one_of({"text": "text"})),
+            "text": Field(read=_READ_TEXT),
+        },
     ),
     most=1000,
 )
@@ -78,19 +79,19 @@
         {
             "role": Field(read=read_one_of({role: role for role in _ROLES})),
             "content": Field(read=read_optional(_read_content), default=None),
-            "name": Field(read=_TEXT, default=None),
-            "tool_call_id": Field(read=_TEXT, default=None),
+            "name": Field(read=_READ_TEXT, default=None),
+            "tool_call_id": Field(read=_READ_TEXT, default=None),
             "tool_calls": Field(read=_read_anything, default=None),
         },
     ),
     least=1,
     most=10_000,
 )
-_TOKENS = read_optional(read_whole(least=1, most=MOST_TOKENS))
-_SHARED = {
-    "model": Field(read=_TEXT),
-    "max_tokens": Field(read=_TOKENS, default=None),
-    "max_completion_tokens": Field(read=_TOKENS, default=None),
+_READ_TOKENS = read_optional(read_whole(least=1, most=MAX_REQUEST_TOKENS))
+_SHARED_FIELDS = {
+    "model": Field(read=_READ_TEXT),
+    "max_tokens": Field(read=_READ_TOKENS, default=None),
+    "max_completion_tokens": Field(read=_READ_TOKENS, default=None),
     "stream": Field(read=read_optional(read_flag()), default=False),
     "stream_options": Field(
         read=read_optional(
@@ -100,22 +101,24 @@
     ),
     "n": Field(read=read_optional(read_whole(least=1, most=1)), default=1),
 }
-#: Members that callers' libraries may send and that the engines here do not use.
-_UNUSED = (
+#: Members that client libraries may send and that the engines do not support.
+_IGNORED_NAMES = (
     "temperature top_p stop user seed presence_penalty frequency_penalty logit_bias "
     "logprobs top_logprobs response_format tools tool_choice metadata store "
     "service_tier best_of echo suffix parallel_tool_calls reasoning_effort"
 ).split()
-_IGNORED = {name: Field(read=_read_anything, default=None) for name in _UNUSED}
+_IGNORED_FIELDS = {
+    name: Field(read=_read_anything, default=None) for name in _IGNORED_NAMES
+}
 
 
 def _make_body(*, prompt: str, **members: Any) -> CompletionBody:  # noqa: ANN401
     options = members["stream_options"] or {}
-    most = members["max_completion_tokens"] or members["max_tokens"]
+    limit = members["max_completion_tokens"] or members["max_tokens"]
     return CompletionBody(
         pipeline=members["model"],
         prompt=prompt,
-        max_tokens=most,
+        max_tokens=limit,
         stream=bool(members["stream"]),
         include_usage=options.get("include_usage", False),
     )
@@ -126,21 +129,22 @@
 
 
 _READ_CHAT = read_record(
-    _make_chat_body, {"messages": Field(read=_READ_MESSAGES), **_SHARED, **_IGNORED}
+    _make_chat_body,
+    {"messages": Field(read=_READ_MESSAGES), **_SHARED_FIELDS, **_IGNORED_FIELDS},
 )
 _READ_TEXT_COMPLETION = read_record(
-    _make_body, {"prompt": Field(read=_TEXT), **_SHARED, **_IGNORED}
+    _make_body, {"prompt": Field(read=_READ_TEXT), **_SHARED_FIELDS, **_IGNORED_FIELDS}
 )
 
 
 async def read_body(instance: Instance, request: web.Request) -> bytes:
-    """Return the call's body; raises `CallerError` when it is too large or slow."""
+    """Return the call's body; raises `CallerError` if it is too large or too slow."""
     limits = instance.settings.limits
     try:
         async with asyncio.timeout(limits.body_ms / 1000):
             return await request.read()
     except web.HTTPRequestEntityTooLarge as error:
-        detail = f"At most {limits.body_bytes} bytes are taken."
+        detail = f"The limit is {limits.body_bytes} bytes."
         failure = make_failure(ResultCode.BODY_TOO_LARGE, detail)
         raise CallerError(failure=failure) from error
     except TimeoutError as error:
@@ -150,7 +154,7 @@
 
 
 def parse_completion_body(raw: bytes, *, is_chat: bool) -> CompletionBody:
-    """Return what the body asks for; raises `CallerError` naming every fault."""
+    """Parse a completion body; raises `CallerError` that lists every fault."""
     faults: list[Fault] = []
     value = parse_json(raw, "body", faults)
     if not faults:
--- a/packages/instance/fulmarward/callers/_completions.py
+++ b/packages/instance/fulmarward/callers/_completions.py
@@ -43,7 +43,7 @@
     instance: Instance, request: web.Request, team: str, body: CompletionBody
 ) -> Work:
     pipeline = _find_pipeline(instance, team, body.pipeline)
-    most = pipeline.max_output_tokens
+    limit = pipeline.max_output_tokens
     deadline_ms = read_deadline_ms(request, default=pipeline.deadline_ms)
     return Work(
         request=make_request_id(),
@@ -52,7 +52,7 @@
         pipeline_name=body.pipeline,
         pipeline=pipeline,
         prompt=body.prompt,
-        max_tokens=min(body.max_tokens or most, most),
+        max_tokens=min(body.max_tokens or limit, limit),
         urgency=read_urgency(request, default=pipeline.urgency),
         idempotent=pipeline.idempotent,
         deadline=instance.read_clock() + deadline_ms / 1000,
@@ -89,7 +89,7 @@
                 answer,
                 body.include_usage,
                 after,
-                note_first=lambda: _note_first(instance, work, began),
+                on_first_token=lambda: _record_first_token(instance, work, began),
             )
         else:
             response = await send_whole(head, answer)
@@ -97,15 +97,15 @@
         return response
     finally:
         release_answer(instance, answer, is_sent=is_sent)
-        _note_end(instance, work, answer, began)
+        _record_end(instance, work, answer, began)
 
 
-def _note_first(instance: Instance, work: Work, began: float) -> None:
+def _record_first_token(instance: Instance, work: Work, began: float) -> None:
     labels = {"pipeline": work.pipeline_name}
     instance.metrics.first_token.observe(labels, instance.read_clock() - began)
 
 
-def _note_end(instance: Instance, work: Work, answer: Answer, began: float) -> None:
+def _record_end(instance: Instance, work: Work, answer: Answer, began: float) -> None:
     if not answer.is_over:
         return
     labels = {"pipeline": work.pipeline_name}
--- a/packages/instance/fulmarward/callers/_discovery.py
+++ b/packages/instance/fulmarward/callers/_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: which addresses a caller shall use."""
+"""Discovery: the addresses that a caller should use."""
 
 from aiohttp import web
 
--- a/packages/instance/fulmarward/callers/_errors.py
+++ b/packages/instance/fulmarward/callers/_errors.py
@@ -1,4 +1,4 @@
-"""How a failure is told to a caller over HTTP."""
+"""Renders failures as HTTP responses for callers."""
 
 from math import ceil
 
@@ -6,12 +6,12 @@
 
 from fulmarward_core.results import CODES, Failure
 
-#: Where a response keeps the failure that it tells.
+#: Key under which a response stores its failure.
 FAILURE = "fulmarward.failure"
 
 
 class CallerError(Exception):
-    """Ends the handling of a call with a failure; caught by the middleware."""
+    """Aborts the handling of a call with a failure; caught by the middleware."""
 
     def __init__(self, *, failure: Failure) -> None:
         super().__init__(failure.message)
@@ -19,7 +19,7 @@
 
 
 def render_failure(failure: Failure) -> dict[str, object]:
-    """Return the JSON body that tells `failure`."""
+    """Return the JSON body for `failure`."""
     entry = CODES[failure.code]
     return {
         "error": {
@@ -34,7 +34,7 @@
 
 
 def make_failure_response(failure: Failure) -> web.Response:
-    """Return the HTTP answer that tells `failure`."""
+    """Return the HTTP response for `failure`."""
     headers = {}
     if failure.retry_after_ms is not None:
         headers["Retry-After"] = str(ceil(failure.retry_after_ms / 1000))
--- a/packages/instance/fulmarward/callers/_keys.py
+++ b/packages/instance/fulmarward/callers/_keys.py
@@ -1,4 +1,4 @@
-"""The idempotency key of a call: read, minted, and told in the answer."""
+"""Reads or issues the idempotency key of a call and reports it in the response."""
 
 from aiohttp import web
 
@@ -9,17 +9,17 @@
 from fulmarward_core.keys import HandedKey, InventedKey
 from fulmarward_core.results import Failure, Ran
 
-#: Where a call keeps its key and team for the headers of its answer.
-_CALL_KEY = "fulmarward.key"
+#: Key under which a request stores its team and idempotency key for the response.
+_KEY_ENTRY = "fulmarward.key"
 
 
 def read_call_key(
     instance: Instance, request: web.Request, team: str, *, idempotent: bool
 ) -> HandedKey | InventedKey | None:
-    """Return the key that the call runs under; `None` when it needs none.
+    """Return the key that the call runs under, `None` if it needs none.
 
-    A call that may run once and came without a key gets one of its own, which its
-    caller finds in the answer and can come back with. Raises `CallerError`.
+    A non-idempotent call without a key is issued one, which the response reports so
+    that the caller can repeat the call with it. Raises `CallerError`.
     """
     text = request.headers.get(KEY_HEADER)
     if text is None and idempotent:
@@ -27,14 +27,14 @@
     key = mint_key(instance, team) if text is None else read_key(instance, team, text)
     if key is None:
         raise refuse_header(KEY_HEADER, "a key of this team", text)
-    request[_CALL_KEY] = (team, key.text)
+    request[_KEY_ENTRY] = (team, key.text)
     return key
 
 
 async def claim_call_key(
     instance: Instance, team: str, key: InventedKey, body_hash: str
 ) -> HandedKey:
-    """Return the handed key that stands for an invented one; raises `CallerError`."""
+    """Return the issued key of a client-generated one; raises `CallerError`."""
     claimed = await claim_invented(instance, team, key, body_hash)
     if isinstance(claimed, Failure):
         raise CallerError(failure=claimed)
@@ -44,14 +44,14 @@
 def add_key_headers(
     instance: Instance, request: web.Request, response: web.StreamResponse
 ) -> None:
-    """Say in the answer which key the call ran under.
+    """Add the key of the call to the response.
 
-    An answer that says "not run" closes its key for ever and brings a new prefix, so
-    that the caller can send its request again at once.
+    A "not run" response closes its key permanently and carries a new prefix, so that
+    the caller can resend its request at once.
     """
-    if _CALL_KEY not in request:
+    if _KEY_ENTRY not in request:
         return
-    team, text = request[_CALL_KEY]
+    team, text = request[_KEY_ENTRY]
     response.headers[KEY_HEADER] = text
     failure = response.get(FAILURE)
     if failure is not None and failure.ran is Ran.NOT_RUN:
--- a/packages/instance/fulmarward/callers/_open.py
+++ b/packages/instance/fulmarward/callers/_open.py
@@ -1,4 +1,4 @@
-"""Opening the answer that a call reads: a new one, or one that is there already."""
+"""Opens the answer that a call reads, either a new or an existing one."""
 
 import asyncio
 from dataclasses import replace
@@ -14,10 +14,10 @@
 
 
 async def open_answer(instance: Instance, request: web.Request, work: Work) -> Answer:
-    """Return the answer to `work`, whose execution has been started.
+    """Start the execution of `work` and return its answer.
 
     A call with a key reads the answer of that key's request, which its home executes
-    once; a key marks a request as not idempotent.
+    once. A request with an issued key is treated as not idempotent.
     """
     key = read_call_key(instance, request, work.team, idempotent=work.idempotent)
     if key is None:
--- a/packages/instance/fulmarward/callers/_release.py
+++ b/packages/instance/fulmarward/callers/_release.py
@@ -1,4 +1,4 @@
-"""What becomes of an answer when the last of its readers has left."""
+"""Releases an answer when its last reader has disconnected."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 
 
 def release_answer(instance: Instance, answer: Answer, *, is_sent: bool) -> None:
-    """Note that a reader left: work that nobody reads is cancelled and dropped.
+    """Remove a reader; an answer without readers is cancelled and dropped.
 
-    Guards against work that runs on for callers that are gone: they show as a
-    connection that ended, also while the request still waits. A caller that can come
-    back (it has event ids or a key) has `linger_ms` to do so; another has none. What
-    was sent whole can still be had from the engine. What runs at the home of its key
-    runs to its end: its caller has longer to come back.
+    This stops work for callers whose connection has closed, also while their request
+    is still queued. A caller that can return (it has event ids or a key) has
+    `linger_ms` to do so, any other caller no time at all. An answer that was sent whole
+    can still be read from the engine. A request at the home of its key runs to its end,
+    since its caller has longer to return.
     """
     answer.readers -= 1
     if answer.readers or (answer.is_keyed and not answer.is_over):
@@ -23,11 +23,11 @@
     answer.unread_since = instance.read_clock()
     may_wait = answer.may_return and not is_sent
     wait_s = instance.settings.limits.linger_ms / 1000 if may_wait else 0.0
-    lingering = _drop_unread(instance, answer, answer.unread_since, wait_s)
+    lingering = _cancel_unread(instance, answer, answer.unread_since, wait_s)
     instance.keep_task(asyncio.create_task(lingering))
 
 
-async def _drop_unread(
+async def _cancel_unread(
     instance: Instance, answer: Answer, unread_since: float, wait_s: float
 ) -> None:
     await asyncio.sleep(wait_s)
--- a/packages/instance/fulmarward/callers/_resume.py
+++ b/packages/instance/fulmarward/callers/_resume.py
@@ -1,8 +1,8 @@
-"""Going on with a stream at this instance, whichever began it.
+"""Resumes a stream at this instance, whichever instance began it.
 
-A caller whose connection was cut sends the same body again with `Last-Event-ID`, as
-the standard of server-sent events has it. The id holds the sealed locator of the
-stream and the number of the last event that the caller has.
+A caller whose connection was closed sends the same body again with `Last-Event-ID`, as
+the standard for server-sent events defines. The id contains the sealed locator of the
+stream and the number of the last event that the caller received.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
     split_event_id,
 )
 
-#: The header of the standard.
+#: Defined by the standard for server-sent events.
 EVENT_ID_HEADER = "Last-Event-ID"
 
 
-def _refuse(detail: str) -> CallerError:
+def _make_event_id_error(detail: str) -> CallerError:
     return CallerError(failure=make_failure(ResultCode.EVENT_ID_WRONG, detail))
 
 
@@ -37,20 +37,20 @@
 ) -> tuple[Locator, EventId]:
     event = split_event_id(event_id)
     if event is None:
-        raise _refuse("Expected LOCATOR.NUMBER.")
+        raise _make_event_id_error("Expected LOCATOR.NUMBER.")
     for secret in instance.secrets.derive_keys("locators"):
         locator = open_locator(event.sealed, team=team, secret=secret)
         if locator is not None:
             return locator, event
-    raise _refuse("Expected a locator of this team.")
+    raise _make_event_id_error("Expected a locator of this team.")
 
 
 def open_resumed(
     instance: Instance, request: web.Request, work: Work, is_streamed: bool
 ) -> tuple[Work, Answer, int]:
-    """Return the work, its answer and the last event that the caller has.
+    """Return the work, its answer and the number of the last event received.
 
-    Raises `CallerError` for an id that is no stream of this team and this body.
+    Raises `CallerError` for an id that is not of a stream of this team and body.
     """
     locator, event = _open_event_id(
         instance, work.team, request.headers[EVENT_ID_HEADER]
@@ -60,10 +60,12 @@
         digest_prompt(work.prompt),
     )
     if not is_same:
-        raise _refuse("Expected the body that the stream was begun with.")
+        raise _make_event_id_error(
+            "Expected the body of the request that began the stream."
+        )
     if not is_streamed:
-        raise _refuse("Expected a call that is streamed.")
-    work = _take_over(instance, work, locator)
+        raise _make_event_id_error("Expected a streamed call.")
+    work = _restore_work(instance, work, locator)
     answer = instance.answers.get(work.request)
     is_here = answer is not None and answer.team == work.team
     log_event(
@@ -86,11 +88,12 @@
     return work, answer, event.number
 
 
-def _take_over(instance: Instance, work: Work, locator: Locator) -> Work:
-    """Return the work under the name, the deadline and the promise it began with.
+def _restore_work(instance: Instance, work: Work, locator: Locator) -> Work:
+    """Return the work with its original request id, deadline and idempotency.
 
-    Guards against a second run of a request whose key, not its pipeline, says that it
-    may run once: the caller need not send the key with the event id.
+    A request may be non-idempotent because of its key rather than its pipeline. The
+    caller need not send the key with the event id, so the flag in the locator prevents
+    a second run.
     """
     remaining = locator.deadline_at - instance.read_wall_clock()
     deadline = instance.read_clock() + remaining
--- a/packages/instance/fulmarward/callers/_send.py
+++ b/packages/instance/fulmarward/callers/_send.py
@@ -1,4 +1,4 @@
-"""Sending an answer to its caller, whole or as server-sent events."""
+"""Sends an answer to its caller, whole or as server-sent events."""
 
 from collections.abc import Callable
 
@@ -25,7 +25,7 @@
 
 
 async def send_whole(head: AnswerHead, answer: Answer) -> web.Response:
-    """Send the answer as one JSON body when it is over."""
+    """Send the answer as one JSON body once it is complete."""
     while not answer.is_over:
         await answer.changed.wait()
     headers = {"X-Request-Id": head.request}
@@ -43,11 +43,11 @@
     include_usage: bool,
     after: int | None = None,
     *,
-    note_first: Callable[[], None],
+    on_first_token: Callable[[], None],
 ) -> web.StreamResponse:
-    """Send the answer's events; `after` is the last that a returning caller has.
+    """Send the answer's events; a resuming caller has those up to number `after`.
 
-    `note_first` is called when the first text was written.
+    `on_first_token` is called after the first text has been written.
     """
     await _wait_for_start(answer)
     if answer.failure is not None and not answer.texts:
@@ -62,7 +62,7 @@
     await response.prepare(request)
     if after is None:
         await response.write(render_start(head, answer.locator))
-    await _send_events(response, head, answer, after or 0, note_first)
+    await _send_events(response, head, answer, after or 0, on_first_token)
     if answer.failure is not None:
         await response.write(_render_failure_event(answer.failure))
     else:
@@ -79,9 +79,9 @@
     head: AnswerHead,
     answer: Answer,
     sent: int,
-    note_first: Callable[[], None],
+    on_first_token: Callable[[], None],
 ) -> None:
-    """Send events after number `sent` until the answer is over, in batches."""
+    """Send the events after number `sent` in batches until the answer is complete."""
     template = make_template(head)
     digest = TextDigest()
     is_first = True
@@ -97,7 +97,7 @@
             sent += len(texts)
             if is_first:
                 is_first = False
-                note_first()
+                on_first_token()
         elif answer.is_over:
             return
         else:
--- a/packages/instance/fulmarward/callers/_server.py
+++ b/packages/instance/fulmarward/callers/_server.py
@@ -1,4 +1,4 @@
-"""The web application that callers use."""
+"""The web application for callers."""
 
 from collections.abc import Awaitable, Callable
 
@@ -17,10 +17,10 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-#: Paths that are answered in every state.
-_ALWAYS = ("/health", "/ready", "/metrics")
+#: Paths that are served in every state of the instance.
+_ALWAYS_SERVED_PATHS = ("/health", "/ready", "/metrics")
 
-#: When a caller may come back while the instance is not serving, in milliseconds.
+#: Milliseconds after which a caller may retry while the instance is not serving.
 RETRY_AFTER_MS = 1_000
 
 _STATE_CODES = {
@@ -32,15 +32,15 @@
 
 
 def _find_refusal(instance: Instance, request: web.Request) -> Failure | None:
-    if request.path in _ALWAYS:
+    if request.path in _ALWAYS_SERVED_PATHS:
         return None
-    # A leaving instance still tells callers where else to go.
+    # A stopping instance still tells callers the addresses of others.
     if request.path == "/discovery" and instance.lifecycle.state == "stopping":
         return None
     is_full = len(instance.answers) >= instance.settings.limits.open_requests
     is_serving = instance.lifecycle.state == "serving"
     if EVENT_ID_HEADER in request.headers and (is_full or not is_serving):
-        # The stream exists, so that "not run" would be untrue of its request.
+        # The stream exists, so its request has run: "not run" would be false.
         return make_failure(ResultCode.STILL_RUNNING, retry_after_ms=RETRY_AFTER_MS)
     code = _STATE_CODES.get(instance.lifecycle.state)
     if code is None and instance.has_paused():
@@ -52,11 +52,12 @@
     return None
 
 
-def _judge_refusal(request: web.Request, refusal: Failure) -> Failure:
-    """Return what a refused call is told.
+def _adapt_refusal(request: web.Request, refusal: Failure) -> Failure:
+    """Return the failure that a refused call gets.
 
-    Guards against "not run" for a key whose request runs at its home: a caller that
-    repeats a call here, and believes it, takes a new key and has it run twice.
+    A refused call with a key must not get "not run", since its request may be running
+    at the home of the key: the caller would resend it under a new key, and it would
+    run twice.
     """
     if KEY_HEADER not in request.headers:
         return refusal
@@ -68,7 +69,7 @@
 
 
 def make_caller_app(instance: Instance) -> web.Application:
-    """Return the web application that callers use."""
+    """Return the web application for callers."""
 
     @web.middleware
     async def answer_failures(
@@ -77,7 +78,7 @@
         try:
             refusal = _find_refusal(instance, request)
             if refusal is not None:
-                raise CallerError(failure=_judge_refusal(request, refusal))
+                raise CallerError(failure=_adapt_refusal(request, refusal))
             response = await handler(request)
         except CallerError as error:
             result = str(error.failure.code.value)
--- a/packages/instance/fulmarward/callers/_services.py
+++ b/packages/instance/fulmarward/callers/_services.py
@@ -1,4 +1,4 @@
-"""Plain services: `/services/NAME/...` passes a call through."""
+"""Plain services: `/services/NAME/...` forwards a call to a replica."""
 
 from dataclasses import replace
 
@@ -31,14 +31,14 @@
 
 
 def _is_idempotent(service: Service, method: str, path: str) -> bool:
-    """Return what the first rule that fits says; without one it may not run twice."""
+    """Return the first matching rule's flag, false if no rule matches."""
     for rule in service.calls:
-        if rule.method == method and _fits(rule.path, path):
+        if rule.method == method and _matches(rule.path, path):
             return rule.idempotent
     return False
 
 
-def _fits(pattern: str, path: str) -> bool:
+def _matches(pattern: str, path: str) -> bool:
     if pattern.endswith("*"):
         return path.startswith(pattern[:-1])
     return path == pattern
@@ -47,8 +47,8 @@
 def _read_path(request: web.Request) -> str:
     """Return the path below the service; raises `CallerError`.
 
-    Guards against a path that names another one (`/free/../moves`): it would fit the
-    rule of the first, and the service would execute the second, twice.
+    Paths with dot segments such as `/free/../moves` are rejected: the rule for `/free`
+    would match, and the service could execute the non-idempotent `/moves` twice.
     """
     path = "/" + request.match_info["path"]
     if {".", ".."} & set(path.split("/")):
@@ -76,7 +76,7 @@
 
 
 async def _execute(instance: Instance, request: web.Request, call: Call) -> CallEnd:
-    """Execute a call; a key marks it as one that may not run twice."""
+    """Execute a call; a call with an issued key is treated as not idempotent."""
     key = read_call_key(instance, request, call.team, idempotent=call.idempotent)
     if key is None:
         outcome = await run_call(instance, call)
--- a/packages/instance/fulmarward/callers/_shapes.py
+++ b/packages/instance/fulmarward/callers/_shapes.py
@@ -1,4 +1,4 @@
-"""The JSON shapes of completions, as callers' client libraries know them."""
+"""The JSON formats of completions that client libraries expect."""
 
 import json
 from dataclasses import dataclass
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Shape:
-    """One of the two shapes that a completion is told in."""
+    """One of the two JSON formats of a completion."""
 
-    #: `chat.completion` or `text_completion`.
+    #: The `object` member of a whole answer.
     whole_object: str
-    #: The same for a streamed part.
+    #: The `object` member of a streamed part.
     part_object: str
-    #: First letters of an answer's id.
+    #: Prefix of an answer's id.
     id_prefix: str
-    #: Whether texts stand in messages.
+    #: Whether texts are wrapped in messages.
     is_chat: bool
 
 
@@ -37,15 +37,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AnswerHead:
-    """What every part of one answer repeats."""
+    """The members that are the same in every part of an answer."""
 
-    #: The shape.
     shape: Shape
     #: Id of the request.
     request: str
-    #: Seconds since 1970 when the answer began.
+    #: Start of the answer in seconds since 1970.
     created: int
-    #: Name of the pipeline.
     pipeline: str
 
 
@@ -90,13 +88,13 @@
     return json.dumps(part, separators=(",", ":"))
 
 
-#: Stands where a text goes while a part is made into a template.
-_MARK = "\u0001text\u0001"
+#: Placeholder for the text while a part is rendered as a template.
+_TEXT_PLACEHOLDER = "\u0001text\u0001"
 
 
 @dataclass(frozen=True, kw_only=True)
 class PartTemplate:
-    """The bytes around a text, made once for an answer: each token costs a join."""
+    """The JSON around a text, rendered once per answer so that a token costs a join."""
 
     before: str
     after: str
@@ -104,9 +102,13 @@
 
 def make_template(head: AnswerHead) -> PartTemplate:
     """Return the template of an answer's streamed parts."""
-    content = {"delta": {"content": _MARK}} if head.shape.is_chat else {"text": _MARK}
+    content = (
+        {"delta": {"content": _TEXT_PLACEHOLDER}}
+        if head.shape.is_chat
+        else {"text": _TEXT_PLACEHOLDER}
+    )
     choice = {"index": 0, **content, "logprobs": None, "finish_reason": None}
-    before, after = _render_part(head, [choice]).split(json.dumps(_MARK))
+    before, after = _render_part(head, [choice]).split(json.dumps(_TEXT_PLACEHOLDER))
     return PartTemplate(before="\ndata: " + before, after=after + "\n\n")
 
 
@@ -119,7 +121,7 @@
 ) -> bytes:
     """Return the server-sent events of `texts`, the first numbered `first_number`.
 
-    `digest` has taken in all texts before them.
+    `digest` must already include all texts before them.
     """
     parts = []
     for number, text in enumerate(texts, first_number):
@@ -131,7 +133,7 @@
 
 
 def render_start(head: AnswerHead, locator: str) -> bytes:
-    """Return event 0, sent when a target has the request: it carries the locator."""
+    """Return event 0, which carries the locator once a target has the request."""
     content = (
         {"delta": {"role": "assistant", "content": ""}}
         if head.shape.is_chat
@@ -150,9 +152,10 @@
     include_usage: bool,
     after: int = 0,
 ) -> bytes:
-    """Return the last events that come `after`: the reason for the end, and `[DONE]`.
+    """Return the final events numbered above `after`: the finish reason and `[DONE]`.
 
-    Only after `[DONE]` is the answer whole; a caller without it knows it was cut.
+    An answer is complete only with `[DONE]`; without it the caller knows that the
+    stream was cut.
     """
     content = {"delta": {}} if head.shape.is_chat else {"text": ""}
     choice = {"index": 0, **content, "logprobs": None, "finish_reason": answer.end}
--- a/packages/instance/fulmarward/callers/tests/test_bad_input.py
+++ b/packages/instance/fulmarward/callers/tests/test_bad_input.py
@@ -42,20 +42,20 @@
 
 
 class BadInputTest(unittest.IsolatedAsyncioTestCase):
-    async def test_each_gets_its_code_and_disturbs_nobody(self):
+    async def test_bad_input_gets_its_code_and_disturbs_no_caller(self):
         async with start_fleet(_make_plan()) as fleet:
-            good = asyncio.create_task(self._have_good_answers(fleet))
+            good = asyncio.create_task(self._expect_good_answers(fleet))
             await self._send_malformed_bodies(fleet)
             await self._send_too_much(fleet)
-            await self._lie_about_length(fleet)
-            await self._leave_half_open(fleet)
+            await self._send_truncated_body(fleet)
+            await self._leave_connections_idle(fleet)
             good.cancel()
             with self.assertRaises(asyncio.CancelledError):
                 await good
             result = await fleet.call("i1", "/health")
             self.assertEqual(result.body["state"], "serving")
 
-    async def _have_good_answers(self, fleet):
+    async def _expect_good_answers(self, fleet):
         body = {"model": "lookup", "prompt": "x [5 tokens]"}
         while True:
             result = await fleet.call("i1", "/v1/completions", body)
@@ -85,17 +85,17 @@
         result = await fleet.call("i1", "/v1/completions", body)
         self.assertEqual((result.status, result.body["result"]), (413, 1002))
 
-    async def _lie_about_length(self, fleet):
-        # A tablet loses its link in the middle of sending: the head promised more
-        # bytes than ever come. It is told so in time, and nothing is run.
+    async def _send_truncated_body(self, fleet):
+        # The caller's link fails while it sends, so that fewer bytes arrive than the
+        # Content-Length says. It gets a timely failure, and nothing runs.
         reader, writer = await _connect(fleet)
         writer.write(_make_head(5_000) + b'{"model": ')
         status, body = await _read_answer(reader)
         self.assertEqual((status, body["result"], body["ran"]), (408, 1010, "not_run"))
         writer.close()
 
-    async def _leave_half_open(self, fleet):
-        # Callers that connect and send nothing, or half a head, hold no request.
+    async def _leave_connections_idle(self, fleet):
+        # Callers that send nothing or only half a head do not count as open requests.
         connections = [await _connect(fleet) for _ in range(50)]
         for _, writer in connections[:25]:
             writer.write(b"POST /v1/chat/completions HTTP/1.1\r\nHost:")
@@ -106,9 +106,9 @@
 
 
 class SlowReaderTest(unittest.IsolatedAsyncioTestCase):
-    async def test_caller_that_does_not_read_costs_its_answer_at_most(self):
-        # A caller asks for long answers and reads none of them. The instance keeps
-        # at most the answers themselves; a caller that reads is not held up.
+    async def test_caller_that_does_not_read_costs_at_most_its_answer(self):
+        # A caller requests long answers and reads none of them. The instance buffers
+        # at most the answers themselves, and other callers are not delayed.
         async with start_fleet(_make_plan()) as fleet:
             pid = fleet.processes["i1"].child.pid
             before = read_usage(pid).resident_bytes
--- a/packages/instance/fulmarward/callers/tests/test_client_library.py
+++ b/packages/instance/fulmarward/callers/tests/test_client_library.py
@@ -7,7 +7,7 @@
 
 
 class ClientLibraryTest(unittest.IsolatedAsyncioTestCase):
-    async def test_published_client_works_unchanged(self):
+    async def test_openai_client_works_unchanged(self):
         async with (
             start_fleet() as fleet,
             openai.AsyncOpenAI(
@@ -20,7 +20,7 @@
             await self._stream_chat(client)
             await self._complete_text(client)
             await self._list_models(client)
-            await self._meet_errors(client)
+            await self._check_errors(client)
 
     async def _complete_chat(self, client):
         prompt = "sunrise? [6 tokens]"
@@ -59,7 +59,7 @@
         names = [model.id async for model in await client.models.list()]
         self.assertEqual(names, ["lookup", "summary", "rewrite", "chain"])
 
-    async def _meet_errors(self, client):
+    async def _check_errors(self, client):
         with self.assertRaises(openai.NotFoundError) as caught:
             await client.completions.create(model="nope", prompt="x")
         self.assertEqual(caught.exception.code, "pipeline_unknown")
--- a/packages/instance/fulmarward/callers/tests/test_metrics.py
+++ b/packages/instance/fulmarward/callers/tests/test_metrics.py
@@ -17,7 +17,7 @@
 
 
 class MetricsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_requests_show_in_the_metrics(self):
+    async def test_requests_are_counted_in_the_metrics(self):
         instances = [InstancePlan(name="i1", data_centre="lx-alcantara")]
         async with start_fleet(FleetPlan(instances=instances)) as fleet:
             await _stream(fleet)
--- a/packages/instance/fulmarward/callers/tests/test_sessions.py
+++ b/packages/instance/fulmarward/callers/tests/test_sessions.py
@@ -21,7 +21,7 @@
 
 
 async def _record(fleet, instance, path, body=None, headers=None):
-    """Return a call and its answer as lines that a person can read."""
+    """Send a call and return it with its answer as readable lines."""
     sent = {"Authorization": f"Bearer {make_team_key('folha')}"} | (headers or {})
     method = "GET" if body is None else "POST"
     lines = [f"> {method} {path}"]
@@ -42,7 +42,7 @@
 
 
 def _render_ledgers(entries, session):
-    """Return entries as lines, requests in the order in which `session` names them."""
+    """Return ledger entries as lines, in the order of their requests in `session`."""
 
     def place(entry):
         request = session.find(entry["request"])
@@ -53,11 +53,10 @@
 
 
 class KeyedSessionTest(unittest.IsolatedAsyncioTestCase):
-    async def test_session_of_a_unit_move(self):
-        # A location manager's rewritten notes and a unit move must appear once. The
-        # calls are repeated at other instances, with another body and by another
-        # team; then the home of the key is killed and both are repeated again. The
-        # ledgers show one run of each.
+    async def test_session_of_keyed_calls(self):
+        # A completion and a service call that are not idempotent run twice: they are
+        # repeated at other instances, with another body and by another team, and again
+        # after the home of the key is killed. The ledgers must show one run of each.
         plan = FleetPlan(
             targets=[
                 TargetPlan(name="e1"),
@@ -93,8 +92,8 @@
 
 class CompletionSessionTest(unittest.IsolatedAsyncioTestCase):
     async def test_session_of_completions(self):
-        # A caller asks for addresses, has a completion whole and one streamed, and
-        # makes the usual mistakes. The ledger shows each token run once, in order.
+        # A caller lists models, requests whole and streamed completions, and makes the
+        # usual mistakes. The ledger must show that each token ran once, in order.
         async with start_fleet() as fleet:
             lines = await _record(fleet, "i1", "/v1/models")
             lines += await _record(fleet, "i1", "/v1/chat/completions", _CHAT)
--- a/packages/instance/fulmarward/callers/tests/test_tls.py
+++ b/packages/instance/fulmarward/callers/tests/test_tls.py
@@ -16,7 +16,7 @@
 
 
 def _make_certificate(folder):
-    """Return the paths of a fresh certificate and key for loopback."""
+    """Create a certificate and key for loopback; return their paths."""
     certificate, key = folder / "certificate.pem", folder / "key.pem"
     command = ["openssl", "req", "-x509", "-newkey", "ec", "-days", "2", "-nodes"]
     command += ["-pkeyopt", "ec_paramgen_curve:prime256v1", "-subj", "/CN=loopback"]
@@ -53,12 +53,12 @@
 
     def _ask_as_operator(self, fleet, certificate):
         settings = fleet.folder / "fulmarctl.json"
-        told = {
+        content = {
             "addresses": [fleet.find_instance("i1").operator_address],
             "token_file": str(fleet.folder / "operator-tokens"),
             "authority_file": str(certificate),
         }
-        settings.write_text(json.dumps(told))
+        settings.write_text(json.dumps(content))
         command = [sys.executable, "-m", "fulmarctl", "status", "--json"]
         result = subprocess.run(
             [*command, "--settings", str(settings)], capture_output=True, check=False
