--- a/packages/instance/fulmarward/configuration/__init__.py
+++ b/packages/instance/fulmarward/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Applying declarations and adopting them, from the platform or from peers."""
+"""Applies declarations, and adopts them from the platform or from peers."""
 
 from fulmarward.configuration._adopt import (
     answer_head,
--- a/packages/instance/fulmarward/configuration/_adopt.py
+++ b/packages/instance/fulmarward/configuration/_adopt.py
@@ -1,4 +1,4 @@
-"""The task that puts newer configuration in force on this instance."""
+"""The task that activates newer configuration on this instance."""
 
 import asyncio
 import logging
@@ -30,23 +30,23 @@
 )
 from fulmarward_core.membership import Member, MemberState
 
-#: Seconds that a peer has to tell its head, a new link to it included.
-HEAD_S = 1.5
+#: Seconds that a peer has to report its head, including the setup of a new link.
+HEAD_TIMEOUT_S = 1.5
 
-#: Peers that are asked for their heads at the same time. Load: an instance that
-#: starts while the platform is out asks all 329 others; reason: sixteen at a time are
-#: through in a second or two and cost it no more than sixteen connections at once.
-ASKED_AT_ONCE = 16
+#: Limits concurrent requests for heads. An instance that starts while the platform is
+#: unavailable asks all 329 others; in groups of sixteen this takes one or two seconds
+#: and at most sixteen connections at once.
+MAX_CONCURRENT_HEAD_REQUESTS = 16
 
-#: Peers besides the teller and the platform that are asked for bodies.
-MOST_BODY_PEERS = 4
+#: Peers that are asked for bodies besides the announcer and the platform.
+MAX_BODY_PEERS = 4
 
-#: In these states an instance knows the newest configuration.
+#: States in which an instance knows the newest configuration.
 CONFIRMED_STATES = ("serving", "stopping")
 
 
 async def answer_head(instance: Instance, peer: Member, message: AskHead) -> HeadNews:
-    """Tell a peer the head in force here."""
+    """Report the active head to a peer."""
     is_confirmed = instance.lifecycle.state in CONFIRMED_STATES
     return HeadNews(
         head=instance.snapshot.head,
@@ -55,7 +55,7 @@
 
 
 def list_peers(instance: Instance) -> list[str]:
-    """Return addresses of peers that may answer, near ones first."""
+    """Return addresses of peers not known dead: own data centre first, seeds last."""
     peers = [
         member
         for member in instance.members.members.values()
@@ -69,34 +69,34 @@
     return [address for address in known + seeds if address != own_address]
 
 
-async def _ask_head(links: PeerLinks, address: str) -> HeadNews | None:
+async def _request_head(links: PeerLinks, address: str) -> HeadNews | None:
     try:
-        async with asyncio.timeout(HEAD_S):
-            return await links.call(address, AskHead(), HEAD_S)
+        async with asyncio.timeout(HEAD_TIMEOUT_S):
+            return await links.call(address, AskHead(), HEAD_TIMEOUT_S)
     except (PeerLost, TimeoutError):
         return None
 
 
-async def _ask_all(
+async def _request_heads(
     links: PeerLinks, addresses: Sequence[str]
 ) -> dict[str, HeadNews | None]:
-    """Return what each peer answers, `None` where it does not."""
-    gate = asyncio.Semaphore(ASKED_AT_ONCE)
+    """Return the reply of each peer, `None` where there is none."""
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_HEAD_REQUESTS)
 
     async def ask(address: str) -> HeadNews | None:
-        async with gate:
-            return await _ask_head(links, address)
+        async with semaphore:
+            return await _request_head(links, address)
 
     answers = await asyncio.gather(*(ask(address) for address in addresses))
     return dict(zip(addresses, answers, strict=True))
 
 
-def open_bodies(bodies: dict[str, bytes], head: Head) -> Snapshot | None:
-    """Return the snapshot of a head's bodies, or `None` when they are no whole file.
+def assemble_snapshot(bodies: dict[str, bytes], head: Head) -> Snapshot | None:
+    """Return the snapshot of a head's bodies, `None` if they are not a valid file.
 
-    Guards against a damaged or foreign body: only parts with the manifest's hashes,
-    of a manifest with the head's hash, that together pass every check are ever in
-    force.
+    Damaged or foreign bodies never become active: the manifest must have the head's
+    hash, each part must have its hash in the manifest, and the whole declaration must
+    pass every check.
     """
     manifest = read_manifest(bodies[head.content_hash])
     value = None if manifest is None else join_declaration(manifest, bodies)
@@ -107,7 +107,7 @@
 
 
 async def adopt_head(instance: Instance, head: Head, sources: list[Source]) -> bool:
-    """Adopt `head` if it is newer; return whether it or a newer one is in force."""
+    """Adopt `head` if it is newer; return whether it or a newer one is active."""
     current = instance.snapshot.head
     decision = decide_adoption(current=current, offered=head)
     if decision is not Adoption.ADOPT:
@@ -120,11 +120,11 @@
             )
         return decision is not Adoption.CONFLICT
     bodies = await fetch_bodies(instance.bodies, head.content_hash, sources)
-    snapshot = None if bodies is None else open_bodies(bodies, head)
+    snapshot = None if bodies is None else assemble_snapshot(bodies, head)
     if snapshot is None:
         log_event("configuration_refused", level=logging.WARNING, epoch=head.epoch)
         return False
-    # Another look may have adopted a newer one while the bodies were on their way.
+    # A concurrent adoption may have activated a newer head during the fetch.
     if instance.snapshot.head.epoch >= head.epoch:
         return True
     instance.bodies = bodies
@@ -136,33 +136,33 @@
 def _list_sources(
     instance: Instance, links: PeerLinks, first: Sequence[str]
 ) -> list[Source]:
-    """Return where bodies may be had: the tellers, the platform, a few peers.
+    """Return sources of bodies: peers in `first`, the platform, then a few others.
 
-    The teller goes first, so that one change is not read from the platform by all
-    330 instances at the same moment.
+    Peers that hold the head go first, so that not all 330 instances read a change from
+    the platform at the same moment.
     """
     others = [address for address in list_peers(instance) if address not in first]
     return [
         *(make_peer_source(links, address) for address in first),
         make_platform_source(instance),
-        *(make_peer_source(links, address) for address in others[:MOST_BODY_PEERS]),
+        *(make_peer_source(links, address) for address in others[:MAX_BODY_PEERS]),
     ]
 
 
-async def follow_teller(instance: Instance, links: PeerLinks) -> bool:
-    """Adopt what the peer has that told of a newer epoch."""
-    teller = instance.epoch_teller
-    if not teller:
+async def adopt_from_announcer(instance: Instance, links: PeerLinks) -> bool:
+    """Adopt the head of the peer that announced a newer epoch."""
+    announcer = instance.epoch_teller
+    if not announcer:
         return False
-    news = await _ask_head(links, teller)
+    news = await _request_head(links, announcer)
     if news is None:
         return False
-    sources = _list_sources(instance, links, [teller])
+    sources = _list_sources(instance, links, [announcer])
     return await adopt_head(instance, news.head, sources)
 
 
-async def look_at_platform(instance: Instance, links: PeerLinks) -> bool:
-    """Adopt what the platform has; return whether it answered and that is in force."""
+async def poll_platform(instance: Instance, links: PeerLinks) -> bool:
+    """Adopt the platform's head; return whether it replied and its head is active."""
     row = await read_row(instance.platform, HEAD_TABLE, HEAD_KEY)
     if isinstance(row, PlatformOut):
         return False
@@ -172,19 +172,19 @@
 
 
 async def confirm_newest(instance: Instance, links: PeerLinks) -> bool:
-    """Return whether the newest configuration is in force here, adopting it if not.
+    """Adopt the newest configuration; return whether it is known and active here.
 
-    The platform knows. While it is out, all reachable peers are asked, and at least
-    one has to answer that is sure itself, or all of them. Guards against an instance
-    that starts, or wakes, with an old file or none and serves by it: alone it cannot
-    know, and says so.
+    The platform is authoritative. While it is unavailable, all known peers are asked:
+    either one that has itself confirmed its configuration must reply, or all of them.
+    An instance that starts or resumes with an outdated file or none must not serve by
+    it; alone it cannot confirm that it has the newest.
     """
     row = await read_row(instance.platform, HEAD_TABLE, HEAD_KEY)
     if not isinstance(row, PlatformOut):
         sources = _list_sources(instance, links, [])
         is_adopted = await adopt_head(instance, parse_head(row), sources)
         return is_adopted and instance.snapshot.head.epoch > 0
-    answers = await _ask_all(links, list_peers(instance))
+    answers = await _request_heads(links, list_peers(instance))
     if not is_newest_known(
         [None if news is None else news.is_confirmed for news in answers.values()]
     ):
@@ -198,14 +198,14 @@
 ) -> bool:
     heads = {address: news.head for address, news in answers.items() if news}
     newest = max(heads.values(), key=lambda head: head.epoch)
-    tellers = [address for address, head in heads.items() if head == newest]
-    sources = _list_sources(instance, links, tellers[:MOST_BODY_PEERS])
+    holders = [address for address, head in heads.items() if head == newest]
+    sources = _list_sources(instance, links, holders[:MAX_BODY_PEERS])
     is_adopted = await adopt_head(instance, newest, sources)
     return is_adopted and instance.snapshot.head.epoch > 0
 
 
-async def _wait_for_news(instance: Instance, seconds: float) -> bool:
-    """Return whether a peer told of a newer epoch within `seconds`."""
+async def _wait_for_announcement(instance: Instance, seconds: float) -> bool:
+    """Return whether a peer announced a newer epoch within `seconds`."""
     try:
         async with asyncio.timeout(seconds):
             await instance.epoch_heard.wait()
@@ -216,12 +216,12 @@
 
 
 async def run_adoption(instance: Instance, links: PeerLinks) -> None:
-    """Adopt at once what a peer tells of, and look at the platform now and then."""
+    """Adopt announced heads immediately, and poll the platform periodically."""
     failures = 0
     is_heard = False
     while True:
-        if not is_heard or not await follow_teller(instance, links):
-            has_answered = await look_at_platform(instance, links)
+        if not is_heard or not await adopt_from_announcer(instance, links):
+            has_answered = await poll_platform(instance, links)
             failures = 0 if has_answered else failures + 1
         delay = choose_poll_delay(failures=failures, generator=instance.generator)
-        is_heard = await _wait_for_news(instance, delay)
+        is_heard = await _wait_for_announcement(instance, delay)
--- a/packages/instance/fulmarward/configuration/_apply.py
+++ b/packages/instance/fulmarward/configuration/_apply.py
@@ -1,4 +1,4 @@
-"""Applying a declaration: one conditional write decides between operators."""
+"""Applies a declaration; a conditional write decides between concurrent operators."""
 
 import asyncio
 from collections.abc import Mapping
@@ -38,78 +38,80 @@
 from fulmarward_core.declaration import parse_declaration, split_declaration
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
-#: When an operator may try again, in milliseconds.
+#: Milliseconds after which an operator may retry.
 RETRY_AFTER_MS = 2_000
 
-#: Tries of one apply: the first, and those after a fence or another's fence.
-MOST_TRIES = 4
+#: Tries of one apply: the first, and retries after its own or another's fencing write.
+MAX_TRIES = 4
 
-#: Tries to settle what became of a write whose reply was lost.
-MOST_SETTLING = 3
+#: Tries to determine the outcome of a write whose reply was lost.
+MAX_SETTLE_TRIES = 3
 
-#: Seconds between those.
-SETTLE_PAUSE_S = 0.3
+#: Seconds between two of these tries.
+SETTLE_DELAY_S = 0.3
 
-#: Bodies stored at the same time. Load: a first file at the design size has some 90
-#: parts; harm: a burst of writes takes the platform from the other duties; reason:
-#: eight at 10 ms each are done in a tenth of a second.
-STORED_AT_ONCE = 8
+#: Limits concurrent stores of bodies, so that a burst does not delay other users of the
+#: platform. A first file at the design size has some 90 parts; at 10 ms each, eight at
+#: a time take about a tenth of a second.
+MAX_CONCURRENT_STORES = 8
 
 
 @dataclass(frozen=True, kw_only=True)
 class ApplyRequest:
-    """What an operator wants in force."""
+    """An operator's request to activate a declaration."""
 
     #: The declaration as JSON.
     declaration: object
-    #: Id of this apply, made by the client: it tells a lost reply's outcome.
+    #: Id chosen by the client; it identifies this apply after a lost reply.
     apply_id: str
-    #: The operator's name.
+    #: Name of the operator.
     applied_by: str
-    #: The epoch that the operator saw, `None` to take whatever stands. Only with it
-    #: can an apply that is sent again find its own epoch after a later one.
+    #: The epoch that the operator saw, `None` to replace any. A repeated apply can
+    #: find its own epoch after a later one only if this is set.
     base_epoch: int | None
 
 
 @dataclass(frozen=True, kw_only=True)
 class Applied:
-    """The declaration is in force, or will be on each instance within seconds."""
+    """The declaration is committed; each instance activates it within seconds."""
 
-    #: Its head.
     head: Head
-    #: Whether the same content was in force before.
+    #: Whether the same content was already active.
     is_unchanged: bool
 
 
 @dataclass(frozen=True, kw_only=True)
-class _ShutOut:
-    """The write did not take effect and never will; it can be tried anew."""
+class _Fenced:
+    """The write did not take effect and never will; it can be retried."""
 
 
 async def apply_declaration(
     instance: Instance, wanted: ApplyRequest
 ) -> Applied | Failure:
-    """Check and commit a declaration; the outcome is always the true one."""
+    """Check and commit a declaration.
+
+    A failure reports "not applied" only if the write can no longer take effect.
+    """
     parsed = parse_declaration(wanted.declaration)
     if isinstance(parsed, tuple):
         return make_failure(ResultCode.DECLARATION_INVALID, describe_faults(parsed))
     split = split_declaration(wanted.declaration)
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         outcome = await _try_apply(instance, wanted, split.content_hash, split.bodies)
         if isinstance(outcome, Applied):
             await _adopt_own(instance, outcome.head, split.bodies)
-        if not isinstance(outcome, _ShutOut):
+        if not isinstance(outcome, _Fenced):
             return outcome
-    return _tell_outage("Other writes came first each time; nothing was applied.")
+    return _make_outage_failure("Concurrent writes won each time; nothing was applied.")
 
 
 async def _adopt_own(
     instance: Instance, head: Head, bodies: Mapping[str, bytes]
 ) -> None:
-    """Put what was just applied in force here, from the bodies in hand.
+    """Activate the applied declaration here, from the bodies in memory.
 
-    Guards against an outage that begins right after the write: the new epoch stands,
-    and without this nobody could fetch it until the outage ends.
+    If the platform fails right after the write, the new epoch is committed, and
+    instances could not fetch its bodies anywhere until the outage ends.
     """
 
     async def fetch(content_hash: str) -> bytes | None:
@@ -123,10 +125,10 @@
     wanted: ApplyRequest,
     content_hash: str,
     bodies: Mapping[str, bytes],
-) -> Applied | Failure | _ShutOut:
+) -> Applied | Failure | _Fenced:
     row = await read_row(instance.platform, HEAD_TABLE, HEAD_KEY)
     if isinstance(row, PlatformOut):
-        return _tell_outage(row.detail)
+        return _make_outage_failure(row.detail)
     current = parse_head(row)
     head = Head(
         epoch=current.epoch + 1,
@@ -140,26 +142,26 @@
     if step in (ApplyStep.DONE, ApplyStep.UNCHANGED):
         return Applied(head=current, is_unchanged=step is ApplyStep.UNCHANGED)
     if step is ApplyStep.LOOK_BACK:
-        return await _look_back(instance, head, wanted.base_epoch + 1)
+        return await _check_history(instance, head, wanted.base_epoch + 1)
     if not await _store_bodies(instance, current, bodies):
-        return _tell_outage("The bodies could not be stored.")
+        return _make_outage_failure("The bodies could not be stored.")
     return await _commit(instance, head, row)
 
 
 async def _store_bodies(
     instance: Instance, current: Head, bodies: Mapping[str, bytes]
 ) -> bool:
-    """Store the bodies that the declaration in force does not have.
+    """Store the bodies that the active declaration does not contain.
 
-    They come before the head: a head whose bodies are nowhere would leave every
-    new instance unready.
+    They are stored before the head: a head without stored bodies would keep every
+    new instance from becoming ready.
     """
     is_newest = instance.snapshot.head.content_hash == current.content_hash
     stored = instance.bodies if is_newest else {}
-    gate = asyncio.Semaphore(STORED_AT_ONCE)
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_STORES)
 
     async def store(content_hash: str, body: bytes) -> bool:
-        async with gate:
+        async with semaphore:
             outcome = await store_object(instance.platform, content_hash, body)
         return isinstance(outcome, Committed)
 
@@ -169,7 +171,7 @@
 
 async def _commit(
     instance: Instance, head: Head, row: Row
-) -> Applied | Failure | _ShutOut:
+) -> Applied | Failure | _Fenced:
     history = [
         Write(
             table=HISTORY_TABLE,
@@ -191,34 +193,34 @@
     if isinstance(outcome, Committed):
         return Applied(head=head, is_unchanged=False)
     if isinstance(outcome, PlatformOut):
-        return _tell_outage(outcome.detail)
+        return _make_outage_failure(outcome.detail)
     if isinstance(outcome, Conflict):
-        return await _judge_conflict(instance, head, parse_head(outcome.row))
+        return await _resolve_conflict(instance, head, parse_head(outcome.row))
     return await _settle(instance, head, row)
 
 
-async def _judge_conflict(
+async def _resolve_conflict(
     instance: Instance, head: Head, found: Head
-) -> Applied | Failure | _ShutOut:
-    """Return what a conflict on the head's row means for the apply of `head`."""
+) -> Applied | Failure | _Fenced:
+    """Return the outcome of the apply of `head` after a conflict on the head's row."""
     if found.epoch < head.epoch:
-        return _ShutOut()
+        return _Fenced()
     if found.epoch == head.epoch:
-        return _judge(head, found)
-    return await _look_back(instance, head, head.epoch)
+        return _compare_heads(head, found)
+    return await _check_history(instance, head, head.epoch)
 
 
 async def _settle(
     instance: Instance, head: Head, row: Row
-) -> Applied | Failure | _ShutOut:
-    """Find out what became of a write whose reply was lost, and make it certain.
+) -> Applied | Failure | _Fenced:
+    """Determine the outcome of a write whose reply was lost, and fence it off.
 
-    Guards against a write that is still on its way: the operator is told "not
-    applied" and it lands later. The head's row is written anew with its old value
-    under the same condition. If that succeeds, the row has another version and the
-    late write's condition can never hold; if it conflicts, the row says who was first.
+    The write may still be in flight and take effect after the operator was told "not
+    applied". Therefore the head's row is rewritten with its old value under the same
+    condition. If this succeeds, the row has a new version and the late write's
+    condition can never hold; on a conflict, the row shows which write came first.
     """
-    for _ in range(MOST_SETTLING):
+    for _ in range(MAX_SETTLE_TRIES):
         fence = await transact(
             instance.platform,
             conditions=[Condition(table=HEAD_TABLE, key=HEAD_KEY, version=row.version)],
@@ -232,22 +234,24 @@
         )
         if isinstance(fence, Committed):
             log_event("apply_fenced", apply_id=head.apply_id, epoch=head.epoch)
-            return _ShutOut()
+            return _Fenced()
         if isinstance(fence, Conflict):
-            return await _judge_conflict(instance, head, parse_head(fence.row))
-        await asyncio.sleep(SETTLE_PAUSE_S)
+            return await _resolve_conflict(instance, head, parse_head(fence.row))
+        await asyncio.sleep(SETTLE_DELAY_S)
     return make_failure(
         ResultCode.APPLY_UNKNOWN,
-        f"The platform lost its reply: {fence.detail}.",
+        f"The platform's reply was lost: {fence.detail}.",
         retry_after_ms=RETRY_AFTER_MS,
     )
 
 
-async def _look_back(instance: Instance, head: Head, epoch: int) -> Applied | Failure:
-    """Return whose the row of `epoch` is.
+async def _check_history(
+    instance: Instance, head: Head, epoch: int
+) -> Applied | Failure:
+    """Return whether the history's row of `epoch` is that of the apply of `head`.
 
     The history has a row for each epoch, written in the same transaction as the
-    head, so the answer stays true when other files have been applied since.
+    head, so this holds even if other files have been applied since.
     """
     key = make_history_key(epoch)
     row = await read_row(instance.platform, HISTORY_TABLE, key)
@@ -255,17 +259,17 @@
         return make_failure(
             ResultCode.APPLY_UNKNOWN, row.detail, retry_after_ms=RETRY_AFTER_MS
         )
-    return _judge(head, parse_head(row))
+    return _compare_heads(head, parse_head(row))
 
 
-def _judge(wanted: Head, found: Head) -> Applied | Failure:
+def _compare_heads(wanted: Head, found: Head) -> Applied | Failure:
     if is_same_apply(found, wanted):
         return Applied(head=found, is_unchanged=False)
     detail = f"Epoch {found.epoch} was applied by {found.applied_by}."
     return make_failure(ResultCode.APPLY_CONFLICT, detail)
 
 
-def _tell_outage(detail: str) -> Failure:
+def _make_outage_failure(detail: str) -> Failure:
     return make_failure(
         ResultCode.STORE_UNAVAILABLE, detail, retry_after_ms=RETRY_AFTER_MS
     )
--- a/packages/instance/fulmarward/configuration/_bodies.py
+++ b/packages/instance/fulmarward/configuration/_bodies.py
@@ -1,4 +1,4 @@
-"""Fetching the bodies of a head, from the platform or from peers."""
+"""Fetches the bodies of a head from the platform or from peers."""
 
 import logging
 from collections.abc import Awaitable, Callable, Mapping, Sequence
@@ -12,16 +12,16 @@
 from fulmarward_core.membership import Member
 
 #: Seconds that a peer has to send a body.
-BODY_S = 5.0
+BODY_TIMEOUT_S = 5.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Source:
-    """Somebody who may have bodies."""
+    """The platform or a peer, from which bodies can be fetched."""
 
-    #: Its name, for the log.
+    #: Name for the log.
     name: str
-    #: Returns the body of a content hash, or `None` when it cannot.
+    #: Returns the body for a content hash, `None` if it is not available.
     fetch: Callable[[str], Awaitable[bytes | None]]
 
 
@@ -41,7 +41,7 @@
     async def fetch(content_hash: str) -> bytes | None:
         try:
             answer = await links.call(
-                address, AskBody(content_hash=content_hash), BODY_S
+                address, AskBody(content_hash=content_hash), BODY_TIMEOUT_S
             )
         except PeerLost:
             return None
@@ -51,15 +51,15 @@
 
 
 async def answer_body(instance: Instance, peer: Member, message: AskBody) -> Body:
-    """Send a peer a body; empty when it is not known here."""
+    """Send a body to a peer, an empty one if it is not known here."""
     return Body(text=instance.bodies.get(message.content_hash, b""))
 
 
 async def _fetch_body(content_hash: str, sources: list[Source]) -> bytes | None:
-    """Return a body from the first source that has it whole.
+    """Return a body from the first source that has it undamaged.
 
-    Guards against a source that is out or offers damaged bodies: what it sends does
-    not have the hash that was asked for, and it is asked for nothing more this time.
+    A source that fails, or sends a body without the requested hash, is removed from
+    `sources` and not asked again during this fetch.
     """
     while sources:
         body = await sources[0].fetch(content_hash)
@@ -81,7 +81,7 @@
 ) -> dict[str, bytes] | None:
     """Return the manifest of `content_hash` and all its parts, or `None`.
 
-    Only what is not in `held` travels.
+    Only bodies that are not in `held` are fetched.
     """
     left = list(sources)
     manifest_body = held.get(content_hash) or await _fetch_body(content_hash, left)
--- a/packages/instance/fulmarward/configuration/_heads.py
+++ b/packages/instance/fulmarward/configuration/_heads.py
@@ -1,29 +1,29 @@
-"""The rows of the platform's tables that configuration uses."""
+"""The configuration's rows in the platform's tables."""
 
 from dataclasses import asdict
 
 from fulmarward.platform import Row
 from fulmarward_core.configuration import EMPTY_HEAD, Head
 
-#: The table with the one row that says what is in force.
+#: The table whose only row holds the active head.
 HEAD_TABLE = "configuration"
 HEAD_KEY = "head"
 
-#: The table with a row for each epoch.
+#: The table that has a row for each epoch.
 HISTORY_TABLE = "configuration-history"
 
-#: Epochs that the history keeps. Load: 2,100 changes a day; harm: a table that grows
-#: for ever; reason: nearly five days, longer than any apply can be on its way.
+#: Bounds the size of the history. At 2,100 changes a day it covers nearly five days,
+#: longer than any apply can be in flight.
 HISTORY_EPOCHS = 10_000
 
 
 def make_history_key(epoch: int) -> str:
-    """Return the key of an epoch's row; keys sort as epochs do."""
+    """Return the key of an epoch's row; keys sort in the order of epochs."""
     return f"{epoch:012d}"
 
 
 def render_head(head: Head) -> dict[str, object]:
-    """Return the value of a head's row."""
+    """Return the value of a row that holds `head`."""
     return asdict(head)
 
 
--- a/packages/instance/fulmarward/configuration/_history.py
+++ b/packages/instance/fulmarward/configuration/_history.py
@@ -1,4 +1,4 @@
-"""What was in force before: heads and declarations of earlier epochs."""
+"""Reads the heads and declarations of earlier epochs."""
 
 import asyncio
 
@@ -16,32 +16,32 @@
 from fulmarward_core.declaration import join_declaration, read_manifest
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
-#: When an operator may try again, in milliseconds.
+#: Milliseconds after which an operator may retry.
 RETRY_AFTER_MS = 2_000
 
 
-def _tell_outage(detail: str) -> Failure:
+def _make_outage_failure(detail: str) -> Failure:
     return make_failure(
         ResultCode.STORE_UNAVAILABLE, detail, retry_after_ms=RETRY_AFTER_MS
     )
 
 
 async def read_epoch(instance: Instance, epoch: int) -> Head | Failure:
-    """Return the head that was in force as `epoch`."""
+    """Return the head of `epoch`."""
     key = make_history_key(epoch)
     row = await read_row(instance.platform, HISTORY_TABLE, key)
     if isinstance(row, PlatformOut):
-        return _tell_outage(row.detail)
+        return _make_outage_failure(row.detail)
     if row.value is None:
         return make_failure(ResultCode.NOT_FOUND, f"No epoch {epoch} is kept.")
     return parse_head(row)
 
 
 async def read_history(instance: Instance, count: int) -> tuple[Head, ...] | Failure:
-    """Return the last `count` heads that were in force, oldest first."""
+    """Return the last `count` heads, oldest first."""
     row = await read_row(instance.platform, HEAD_TABLE, HEAD_KEY)
     if isinstance(row, PlatformOut):
-        return _tell_outage(row.detail)
+        return _make_outage_failure(row.detail)
     newest = parse_head(row).epoch
     epochs = range(max(1, newest - count + 1), newest + 1)
     heads = await asyncio.gather(*(read_epoch(instance, epoch) for epoch in epochs))
@@ -52,18 +52,18 @@
 
 
 def show_declaration(instance: Instance) -> dict[str, object] | None:
-    """Return the declaration in force as JSON, `None` before the first."""
+    """Return the active declaration as JSON, `None` before the first."""
     body = instance.bodies.get(instance.snapshot.head.content_hash)
     manifest = None if body is None else read_manifest(body)
     return None if manifest is None else join_declaration(manifest, instance.bodies)
 
 
 async def fetch_declaration(instance: Instance, head: Head) -> object | Failure:
-    """Return the declaration that was in force under `head`."""
+    """Return the declaration of `head`."""
     sources = [make_platform_source(instance)]
     bodies = await fetch_bodies(instance.bodies, head.content_hash, sources)
     if bodies is None:
-        return _tell_outage("The bodies could not be fetched.")
+        return _make_outage_failure("The bodies could not be fetched.")
     manifest = read_manifest(bodies[head.content_hash])
     value = join_declaration(manifest, bodies)
     if value is None:
--- a/packages/instance/fulmarward/configuration/_readiness.py
+++ b/packages/instance/fulmarward/configuration/_readiness.py
@@ -1,4 +1,4 @@
-"""The task that lets an instance serve only while it knows the newest configuration."""
+"""The task that allows serving only while the newest configuration is known."""
 
 import asyncio
 import logging
@@ -10,22 +10,22 @@
 from fulmarward_core.membership import forgive_silence
 
 #: Seconds between two ticks.
-TICK_S = 0.5
+TICK_INTERVAL_S = 0.5
 
-#: Seconds after which an instance that could not confirm tries again, on average.
-#: Harm: 330 instances that start together press on a platform that comes back;
-#: reason: 220 reads a second in all, and each waits for two seconds at most.
-RETRY_S = 1.5
+#: Average seconds until an instance retries a failed confirmation. 330 instances that
+#: start together put 220 reads a second on a recovering platform, and each waits for
+#: about two seconds at most.
+CONFIRM_RETRY_S = 1.5
 
-_UNCONFIRMED = ("starting", "checking")
+_UNCONFIRMED_STATES = ("starting", "checking")
 
 
-def note_tick(instance: Instance) -> None:
-    """Note that the instance runs, and doubt what it knows if it did not for long.
+def record_tick(instance: Instance) -> None:
+    """Record that the process runs; after a long pause, require a new confirmation.
 
-    Guards against an instance that was frozen and wakes: it would serve by a file
-    that was replaced meanwhile, and hold members dead whose words it did not read.
-    The gap between two ticks shows it, whatever froze it.
+    An instance that resumes after a freeze might serve by a file that was replaced
+    meanwhile, and consider members dead whose messages it has not read. The gap
+    between two ticks reveals the freeze, whatever its cause.
     """
     if instance.has_paused():
         instance.pauses += 1
@@ -41,14 +41,14 @@
     pauses = instance.pauses
     is_known = await confirm_newest(instance, links)
     if is_known:
-        # Serving before the drains are known would send work to a leaving target.
+        # Before the drains are known, work could be sent to a draining target.
         await instance.targets_known.wait()
-    is_wanted = instance.lifecycle.state in _UNCONFIRMED
+    is_wanted = instance.lifecycle.state in _UNCONFIRMED_STATES
     if is_known and is_wanted and instance.pauses == pauses:
         instance.lifecycle.become_ready()
         log_event("serving", epoch=instance.snapshot.head.epoch)
         return
-    delay = RETRY_S * instance.generator.uniform(0.5, 1.5)
+    delay = CONFIRM_RETRY_S * instance.generator.uniform(0.5, 1.5)
     try:
         async with asyncio.timeout(delay):
             await instance.snapshot_changed.wait()
@@ -57,17 +57,17 @@
 
 
 async def run_readiness(instance: Instance, links: PeerLinks) -> None:
-    """Tick, and confirm the newest configuration whenever it is not certain."""
+    """Record ticks, and confirm the configuration in states that require it."""
     confirming: asyncio.Task | None = None
     try:
         while True:
-            note_tick(instance)
+            record_tick(instance)
             if confirming is not None and confirming.done():
                 confirming.result()
                 confirming = None
-            if confirming is None and instance.lifecycle.state in _UNCONFIRMED:
+            if confirming is None and instance.lifecycle.state in _UNCONFIRMED_STATES:
                 confirming = asyncio.create_task(_confirm(instance, links))
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
     finally:
         if confirming is not None:
             confirming.cancel()
--- a/packages/instance/fulmarward/configuration/tests/fakes.py
+++ b/packages/instance/fulmarward/configuration/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A platform and links to peers in memory, with the faults that the brief names."""
+"""In-memory platform and peer links with injected faults."""
 
 import asyncio
 import json
@@ -30,10 +30,11 @@
 
 
 class FakeStore:
-    """Stands in for the HTTP client: tables and objects behind the real adapter.
+    """Replaces the HTTP client of the real adapter by tables and objects in memory.
 
-    `faults` says what becomes of the next writes: `ok`; `lost`, it takes effect and
-    its reply does not come; `late`, as `lost`, but it takes effect at `land`; `out`.
+    `faults` determines the next writes: `ok`; `lost`, the write takes effect but its
+    reply is lost; `late`, as `lost`, but it takes effect in `apply_late_writes`;
+    `out`, the platform is unavailable.
     """
 
     def __init__(self):
@@ -57,13 +58,13 @@
             self.rows[row] = (versions[-1], item["value"])
         return _Response(200, {"versions": versions})
 
-    def land(self):
+    def apply_late_writes(self):
         for body in self.late:
             self.transact(body)
         self.late = []
 
     def read_history(self):
-        """Return all heads in force so far, by epoch."""
+        """Return all committed heads by epoch."""
         heads = [
             value for (table, _), (_, value) in self.rows.items() if "history" in table
         ]
@@ -111,7 +112,7 @@
 
 
 class FakeLinks:
-    """Links from one instance to the others of a fleet, by peer address."""
+    """Links from one instance to the others, by peer address."""
 
     def __init__(self, fleet, own):
         self.fleet, self.own = fleet, own
@@ -120,8 +121,8 @@
     async def call(self, address, message, timeout_s):
         for _ in range(next(self.yields, 0)):
             await asyncio.sleep(0)
-        if address in self.fleet.parted or self.own in self.fleet.parted:
-            raise PeerLost("parted", is_sent=True)
+        if address in self.fleet.partitioned or self.own in self.fleet.partitioned:
+            raise PeerLost("partitioned", is_sent=True)
         peer = self.fleet.instances[address]
         answer = {AskHead: answer_head, AskBody: answer_body}[type(message)]
         reply = await answer(peer, None, message)
@@ -131,12 +132,12 @@
 
 
 class FakeFleet:
-    """Instances that share a fake platform; each is named by its peer address."""
+    """Instances that share a fake platform; a name is also the peer address."""
 
     def __init__(self, names):
         self.store = FakeStore()
         self.instances, self.links = {}, {}
-        self.parted, self.damaged = set(), set()
+        self.partitioned, self.damaged = set(), set()
         self.now = 0.0
         for name in names:
             self.start(name)
--- a/packages/instance/fulmarward/configuration/tests/test_machine.py
+++ b/packages/instance/fulmarward/configuration/tests/test_machine.py
@@ -15,8 +15,8 @@
     run_readiness,
     show_declaration,
 )
-from fulmarward.configuration._adopt import follow_teller, look_at_platform
-from fulmarward.configuration._readiness import note_tick
+from fulmarward.configuration._adopt import adopt_from_announcer, poll_platform
+from fulmarward.configuration._readiness import record_tick
 from fulmarward.configuration.tests.fakes import FakeFleet
 from fulmarward_core.declaration import hash_declaration
 from fulmarward_core.results import CODES, Ran
@@ -32,20 +32,20 @@
 
 
 def _make_file(number):
-    """Return a declaration of two parts that differs from others in one of them."""
+    """Return a declaration in two parts, one of which depends on `number`."""
     data_centres = {f"d{index}": {"region": "r"} for index in range(70)}
     data_centres["d1"] = {"region": f"r{number}"}
     return {"data_centres": data_centres, "teams": {}, "targets": {}}
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Operators, instances and a platform, with every fault at any moment."""
+    """Operators, instances and a platform, with faults at any step."""
 
     def __init__(self):
         super().__init__()
         self.runner = asyncio.Runner()
         self.fleet = self._run(self._make_fleet())
-        self.told = {}
+        self.reported = {}
         self.highest = dict.fromkeys(_NAMES, 0)
         self.seen = {}
         self.count = 0
@@ -54,7 +54,7 @@
         return FakeFleet(_NAMES)
 
     def _run(self, coroutine):
-        with mock.patch.object(_apply, "SETTLE_PAUSE_S", 0):
+        with mock.patch.object(_apply, "SETTLE_DELAY_S", 0):
             return self.runner.run(coroutine)
 
     def teardown(self):
@@ -68,7 +68,7 @@
             base_epoch=base_epoch,
         )
         outcome = await apply_declaration(self.fleet.instances[name], wanted)
-        self.told.setdefault(apply_id, []).append(outcome)
+        self.reported.setdefault(apply_id, []).append(outcome)
 
     def _make_id(self):
         self.count += 1
@@ -102,7 +102,7 @@
 
     @rule(number=_FILES, faults=_FAULTS)
     def send_again(self, number, faults):
-        # A client that lost its connection sends the same apply to another instance.
+        # After a lost connection, a client sends the same apply to another instance.
         self.fleet.store.faults = list(faults)
         base, apply_id = (
             max(self.fleet.store.read_history(), default=0),
@@ -112,33 +112,33 @@
         self._run(self._apply("b", number, base, apply_id))
 
     @rule()
-    def land_late_writes(self):
-        self.fleet.store.land()
+    def apply_late_writes(self):
+        self.fleet.store.apply_late_writes()
 
     @rule(name=_INSTANCES)
-    def look(self, name):
+    def poll(self, name):
         instance, links = self.fleet.instances[name], self.fleet.links[name]
-        self._run(look_at_platform(instance, links))
+        self._run(poll_platform(instance, links))
 
-    @rule(name=_INSTANCES, teller=_INSTANCES)
-    def hear(self, name, teller):
+    @rule(name=_INSTANCES, announcer=_INSTANCES)
+    def receive_announcement(self, name, announcer):
         instance, links = self.fleet.instances[name], self.fleet.links[name]
-        told = self.fleet.instances[teller].snapshot.head.epoch
-        instance.note_epoch(told, teller)
+        epoch = self.fleet.instances[announcer].snapshot.head.epoch
+        instance.note_epoch(epoch, announcer)
         if instance.epoch_heard.is_set():
-            self._run(follow_teller(instance, links))
+            self._run(adopt_from_announcer(instance, links))
             instance.epoch_heard.clear()
 
-    @rule(name=_INSTANCES, teller=_INSTANCES, slow=st.integers(0, 12))
-    def hear_while_looking(self, name, teller, slow):
-        # A peer that is slow offers an old file while the platform's newer one comes.
+    @rule(name=_INSTANCES, announcer=_INSTANCES, slow=st.integers(0, 12))
+    def receive_announcement_while_polling(self, name, announcer, slow):
+        # A slow peer offers an old file while the platform's newer one is adopted.
         instance, links = self.fleet.instances[name], self.fleet.links[name]
-        instance.epoch_teller = teller
+        instance.epoch_teller = announcer
         links.yields = iter([0, *[slow] * 3])
 
         async def do_both():
             await asyncio.gather(
-                follow_teller(instance, links), look_at_platform(instance, links)
+                adopt_from_announcer(instance, links), poll_platform(instance, links)
             )
 
         self._run(do_both())
@@ -152,7 +152,9 @@
         if is_known and not self.fleet.store.is_out:
             assert epoch == newest, (epoch, newest)
         others = [item for item in _NAMES if item != name]
-        is_alone = name in self.fleet.parted or self.fleet.parted.issuperset(others)
+        is_alone = name in self.fleet.partitioned or self.fleet.partitioned.issuperset(
+            others
+        )
         assert not (is_known and self.fleet.store.is_out and is_alone)
         if is_known and instance.lifecycle.state != "serving":
             instance.lifecycle.become_ready()
@@ -168,22 +170,26 @@
     @rule(name=_INSTANCES)
     def pause(self, name):
         instance = self.fleet.instances[name]
-        note_tick(instance)
+        record_tick(instance)
         self.fleet.now += 10.0
         assert instance.has_paused()
-        note_tick(instance)
+        record_tick(instance)
         assert instance.lifecycle.state != "serving"
 
     @rule()
     def apply_and_lose_every_reply(self):
-        # The platform takes every write and sends none on until later.
+        # The platform accepts every write but applies it only later.
         newest = max(self.fleet.store.read_history(), default=0)
         self.fleet.store.faults = ["late"] * 8
         self._run(self._apply("a", 6 + self.count % 2, newest, self._make_id()))
 
-    @rule(name=_INSTANCES, is_parted=st.booleans())
-    def part(self, name, is_parted):
-        (self.fleet.parted.add if is_parted else self.fleet.parted.discard)(name)
+    @rule(name=_INSTANCES, is_partitioned=st.booleans())
+    def partition(self, name, is_partitioned):
+        (
+            self.fleet.partitioned.add
+            if is_partitioned
+            else self.fleet.partitioned.discard
+        )(name)
 
     @rule(name=_INSTANCES, is_damaged=st.booleans())
     def damage(self, name, is_damaged):
@@ -194,7 +200,7 @@
         self.fleet.store.is_out = is_out
 
     @invariant()
-    def epoch_in_force_never_falls(self):
+    def active_epoch_never_decreases(self):
         for name, instance in self.fleet.instances.items():
             assert instance.snapshot.head.epoch >= self.highest[name]
             self.highest[name] = instance.snapshot.head.epoch
@@ -214,10 +220,10 @@
                 assert instance.snapshot.declaration.data_centres["d1"].region == region
 
     @invariant()
-    def what_operators_were_told_stays_true(self):
+    def reported_outcomes_stay_true(self):
         heads = self.fleet.store.read_history().values()
         applied = {head["apply_id"] for head in heads}
-        for apply_id, outcomes in self.told.items():
+        for apply_id, outcomes in self.reported.items():
             for outcome in outcomes:
                 if isinstance(outcome, Applied):
                     assert outcome.is_unchanged or apply_id in applied
@@ -250,28 +256,28 @@
         await apply_declaration(self.fleet.instances["b"], request)
 
     async def test_slow_old_body_does_not_replace_a_newer_file(self):
-        # A parted peer offers its old file and its bodies come slowly. Meanwhile the
-        # platform's newer file is adopted. The old one arrives last and is dropped.
+        # A partitioned peer offers its old file, whose bodies arrive slowly. Meanwhile
+        # the platform's newer file is adopted. The old one must not replace it.
         instance, links = self.fleet.instances["a"], self.fleet.links["a"]
         await self._apply(1)
-        await look_at_platform(self.fleet.instances["c"], self.fleet.links["c"])
+        await poll_platform(self.fleet.instances["c"], self.fleet.links["c"])
         await self._apply(2)
         instance.epoch_teller = "c"
         links.yields = iter([0, 50, 50, 50])
         await asyncio.gather(
-            follow_teller(instance, links), look_at_platform(instance, links)
+            adopt_from_announcer(instance, links), poll_platform(instance, links)
         )
         self.assertEqual(instance.snapshot.head.epoch, 2)
 
     async def test_frozen_instance_serves_no_old_file(self):
-        # An instance is frozen, a new file is applied, the instance wakes. Its first
-        # caller would be served by the old file, since no task has run yet. It says
-        # "not ready" to that one already and serves again once it has asked.
+        # An instance is frozen while a new file is applied. When it resumes, its first
+        # caller could be served by the old file, since no task has run yet. It must
+        # answer "not ready" at once and serve again after it has confirmed the file.
         instance, links = self.fleet.instances["a"], self.fleet.links["a"]
         await self._apply(1)
         await confirm_newest(instance, links)
         instance.lifecycle.become_ready()
-        note_tick(instance)
+        record_tick(instance)
         await self._apply(2)
         self.fleet.now += 60.0
         self.assertTrue(instance.has_paused())
--- a/packages/instance/fulmarward/configuration/tests/test_processes.py
+++ b/packages/instance/fulmarward/configuration/tests/test_processes.py
@@ -5,16 +5,16 @@
 
 
 async def _read_states(fleet, instance):
-    """Return the state and version of each member, as an instance believes."""
+    """Return each member's entry in the status of `instance`."""
     status = (await fleet.call_operator(instance, "/status")).body
     return {item["name"]: item for item in status["members"]}
 
 
 async def _wait_for_state(fleet, instance, name, state):
-    async def is_so():
+    async def has_state():
         return (await _read_states(fleet, instance))[name]["state"] == state
 
-    await wait_until(is_so, f"{instance} to hold {name} {state}")
+    await wait_until(has_state, f"{instance} to consider {name} {state}")
 
 
 async def _wait_for_log(fleet, instance, event):
@@ -31,17 +31,17 @@
 
 
 class OldFileTest(unittest.IsolatedAsyncioTestCase):
-    async def test_nobody_serves_an_old_file(self):
-        # A caller would be served by a file that was replaced: by an instance that
-        # was frozen while it was, by one that restarts while the store is out, or by
-        # one that is alone and cannot know.
+    async def test_no_instance_serves_an_old_file(self):
+        # A caller is served by a file that was replaced: by an instance that was frozen
+        # during the change, that restarts while the store is unavailable, or that is
+        # isolated and cannot know of the change.
         async with start_fleet() as fleet:
             await self._freeze_while_applying(fleet)
             await fleet.control_platform(outage=True)
             await _restart(fleet, "i2")
             await fleet.wait_ready("i2")
-            await self._wake(fleet)
-            await self._leave_alone(fleet)
+            await self._resume(fleet)
+            await self._isolate(fleet)
 
     async def _freeze_while_applying(self, fleet):
         fleet.processes["i3"].send(signal.SIGSTOP)
@@ -51,8 +51,8 @@
         changed["data_centres"]["lx-oriente"]["region"] = "porto"
         self.assertEqual((await fleet.apply(changed)).status, 200)
 
-    async def _wake(self, fleet):
-        # The first call may be read before any task of the woken instance has run.
+    async def _resume(self, fleet):
+        # The first call may be handled before any task of the resumed instance runs.
         fleet.processes["i3"].send(signal.SIGCONT)
         served = []
 
@@ -67,7 +67,7 @@
         self.assertEqual({status for status, _ in served[:-1]}, {503}, served)
         await _wait_for_state(fleet, "i1", "i3", "alive")
 
-    async def _leave_alone(self, fleet):
+    async def _isolate(self, fleet):
         for name in ("i1", "i3"):
             await fleet.processes[name].kill()
         await _restart(fleet, "i2")
--- a/packages/instance/fulmarward/tests/test_stop.py
+++ b/packages/instance/fulmarward/tests/test_stop.py
@@ -34,16 +34,16 @@
 
 
 class StopTest(unittest.IsolatedAsyncioTestCase):
-    async def test_stops_cut_off_nothing_and_tell_the_truth(self):
+    async def test_stops_lose_no_stream_and_report_true_outcomes(self):
         async with start_fleet(_plan()) as fleet:
             await self._check_graceful_stop(fleet)
-            await self._check_hurried_stop(fleet)
+            await self._check_immediate_stop(fleet)
             ledgers = await fleet.read_ledgers_by_target()
             self.assertEqual(find_ledger_faults(ledgers, layers=24), [])
 
     async def _check_graceful_stop(self, fleet):
-        # An instance with hundreds of streams and some chains is told to stop. It
-        # refuses new work, every open answer comes whole, and it ends by itself.
+        # An instance with hundreds of streams and some chains gets SIGTERM. It must
+        # refuse new work, complete every open answer and exit by itself.
         prompts = [f"sheet {number} [30 tokens]" for number in range(_STREAMS)]
         reading = [
             asyncio.create_task(read_whole(fleet, "i1", prompt)) for prompt in prompts
@@ -73,11 +73,11 @@
         self.assertEqual({len(answer.texts) for answer in answers[_STREAMS:]}, {200})
         self.assertEqual(await fleet.processes["i1"].child.wait(), 0)
 
-    async def _check_hurried_stop(self, fleet):
-        # The operator cannot wait and signals twice. A caller of a stream is told
-        # that the instance ended, goes on at another one from its last event, and
-        # nothing was run twice. A call without events is told "unknown", and has its
-        # whole answer when it comes back with the key that it was told.
+    async def _check_immediate_stop(self, fleet):
+        # A second SIGTERM stops the instance at once. Callers of streams are told so
+        # and resume at another instance from their last event; nothing may run twice.
+        # A call without events gets "unknown", and its whole answer when it is repeated
+        # with the key from the response.
         prompts = [f"moves {number} [30 tokens]" for number in range(20)]
         began = await _count_began(fleet)
         reading = [
@@ -95,8 +95,8 @@
             fleet.processes["i2"].send(signal.SIGTERM)
             await asyncio.sleep(0.2)
         cut = await asyncio.gather(*reading)
-        told = await calling
-        self.assertEqual(told.body["ran"], "unknown")
+        unknown = await calling
+        self.assertEqual(unknown.body["ran"], "unknown")
         self.assertEqual(await fleet.processes["i2"].child.wait(), 0)
         resuming = [
             read_whole(
@@ -114,14 +114,14 @@
             self.assertTrue(rest.is_whole)
             expected = answer_tokens(prompt, 30, 24)
             self.assertEqual(first.texts + rest.texts, expected)
-        await self._check_call_comes_back(fleet, body, told)
+        await self._check_call_can_be_repeated(fleet, body, unknown)
         self.assertEqual(await _count_began(fleet), began + len(prompts) + 1)
         entries = await fleet.read_ledgers()
         cancelled = [item for item in entries if item["event"] == "cancelled"]
         self.assertEqual(cancelled, [])
 
-    async def _check_call_comes_back(self, fleet, body, told):
-        key = {"Idempotency-Key": told.headers["Idempotency-Key"]}
+    async def _check_call_can_be_repeated(self, fleet, body, unknown):
+        key = {"Idempotency-Key": unknown.headers["Idempotency-Key"]}
         repeat = await fleet.call("i3", "/v1/completions", body, headers=key)
         self.assertEqual(repeat.status, 200, repeat.body)
         text = "".join(answer_tokens(body["prompt"], 100, 24))
