--- a/packages/instance/fulmarward/callers/_keys.py
+++ b/packages/instance/fulmarward/callers/_keys.py
@@ -34,7 +34,7 @@
 async def claim_call_key(
     instance: Instance, team: str, key: InventedKey, body_hash: str
 ) -> HandedKey:
-    """Return the issued key of a client-generated one; raises `CallerError`."""
+    """Return the issued key of a caller-generated one; raises `CallerError`."""
     claimed = await claim_invented(instance, team, key, body_hash)
     if isinstance(claimed, Failure):
         raise CallerError(failure=claimed)
--- a/packages/instance/fulmarward/keys/_claims.py
+++ b/packages/instance/fulmarward/keys/_claims.py
@@ -1,6 +1,6 @@
-"""Claims client-generated keys in the platform's table, in batches.
+"""Claims caller-generated keys in the platform's table, in batches.
 
-A claim maps a client-generated key to an issued one. From then on a home and a witness
+A claim maps a caller-generated key to an issued one. From then on a home and a witness
 keep it like any other key, and the platform is not queried again.
 """
 
@@ -37,7 +37,7 @@
 TABLE = "claims"
 
 #: Seconds for which claims are collected into one transaction. Each of 330 instances
-#: serves 24 requests/s, part of them with client-generated keys; one write per claim
+#: serves 24 requests/s, part of them with caller-generated keys; one write per claim
 #: would exceed the platform's capacity. The delay is small against the 1.6 s to a first
 #: token. Claims also accumulate while a transaction is in progress or waits for the
 #: instance's share.
@@ -55,7 +55,7 @@
 #: is read from the platform again.
 MAX_CACHED_CLAIMS = 10_000
 
-#: Seconds for which a claim's row is kept. After that, a repeat of a client-generated
+#: Seconds for which a claim's row is kept. After that, a repeat of a caller-generated
 #: key counts as a new request.
 CLAIM_RETENTION_S = 3_600.0
 
@@ -85,7 +85,7 @@
 async def claim_invented(
     instance: Instance, team: str, key: InventedKey, body_hash: str
 ) -> HandedKey | Failure:
-    """Return the issued key of a client-generated one, claiming it if it is new."""
+    """Return the issued key of a caller-generated one, claiming it if it is new."""
     row_key = make_row_key(team, key.text)
     outcome = _find_cached(instance, row_key)
     if outcome is None:
@@ -130,16 +130,16 @@
 def _make_pending(
     instance: Instance, team: str, row_key: str, body_hash: str
 ) -> PendingClaim:
-    handed = mint_key(instance, team)
+    key = mint_key(instance, team)
     claim = ClaimRow(
-        handed=handed.text,
+        handed=key.text,
         body_hash=body_hash,
         claimed_at=round(instance.read_wall_clock(), 3),
     )
     return PendingClaim(
         row_key=row_key,
         claim=claim,
-        key=handed,
+        key=key,
         outcome=asyncio.get_running_loop().create_future(),
     )
 
--- a/packages/instance/fulmarward/keys/_prefixes.py
+++ b/packages/instance/fulmarward/keys/_prefixes.py
@@ -80,7 +80,7 @@
 
 
 def hold_here(instance: Instance, team: str, key: InventedKey) -> HandedKey:
-    """Return a local key for the client-generated key of an idempotent request.
+    """Return a local key for the caller-generated key of an idempotent request.
 
     A repeat at this instance gets the same answer; a repeat elsewhere runs again.
     """
--- a/packages/instance/fulmarward/keys/tests/test_claims.py
+++ b/packages/instance/fulmarward/keys/tests/test_claims.py
@@ -25,7 +25,7 @@
         entries = await fleet.read_ledgers()
         return sum(entry["event"] == "began" for entry in entries)
 
-    async def test_client_generated_keys_run_once(self):
+    async def test_caller_generated_keys_run_once(self):
         # A caller sends a key of its own to three instances at once, and each of them
         # executes the request. Later the reply to a claim's write is lost, and the
         # instance takes its own row for another's or writes it again.
