--- a/packages/client/fulmarctl/__init__.py
+++ b/packages/client/fulmarctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' client of fulmarward."""
+"""Command line client of fulmarward for operators."""
--- a/packages/client/fulmarctl/__main__.py
+++ b/packages/client/fulmarctl/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the operators' client."""
+"""Entry point of `fulmarctl`."""
 
 from fulmarctl._commands import Commands
 from fulmarward_core.command_line import run_command_line
--- a/packages/client/fulmarctl/_client.py
+++ b/packages/client/fulmarctl/_client.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' side of the instances."""
+"""HTTP calls to the operator addresses of instances."""
 
 import asyncio
 import ssl
@@ -10,25 +10,25 @@
 
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
-#: Seconds for one call.
-CALL_S = 15.0
+#: Timeout of one call, in seconds.
+CALL_TIMEOUT_S = 15.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Fleet:
-    """Where instances are and how to be let in."""
+    """Addresses and credentials of the instances."""
 
     #: Operator addresses `IP:PORT`, tried in order.
     addresses: tuple[str, ...]
-    #: The operator's token.
+    #: Operator token.
     token: str
-    #: How to check the instances' certificates; `None` for plain HTTP.
+    #: TLS context that verifies the instances; `None` for plain HTTP.
     tls: ssl.SSLContext | None = None
 
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """What an instance answered."""
+    """Response of an instance."""
 
     #: HTTP status.
     status: int
@@ -57,7 +57,7 @@
 
 
 async def _call_first(fleet: Fleet, path: str, body: object) -> Reply | Failure:
-    timeout = aiohttp.ClientTimeout(total=CALL_S)
+    timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
     outcome: Reply | Failure = make_failure(ResultCode.INSTANCE_UNREACHABLE)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         for address in fleet.addresses:
@@ -68,7 +68,7 @@
 
 
 async def _call_all(fleet: Fleet, path: str) -> list[Reply | Failure]:
-    timeout = aiohttp.ClientTimeout(total=CALL_S)
+    timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         calls = [
             _call_one(session, fleet, address, path, None)
@@ -77,8 +77,8 @@
         return await asyncio.gather(*calls)
 
 
-def _read_failure(reply: Reply | Failure) -> Reply | Failure:
-    """Return the failure that an instance told, else the reply itself."""
+def _convert_failure(reply: Reply | Failure) -> Reply | Failure:
+    """Return the failure that an error response describes, else the reply itself."""
     if isinstance(reply, Failure) or reply.status == 200:
         return reply
     code = ResultCode(reply.body["result"])
@@ -92,12 +92,12 @@
 def call_instance(fleet: Fleet, path: str, body: object = None) -> Reply | Failure:
     """Call the first instance that answers.
 
-    An apply may be sent to a second instance after a lost reply: it carries its
-    apply id, so the second finds out what became of the first.
+    After a lost reply an apply may be sent to a second instance. It carries its
+    apply id, by which the second instance finds the outcome of the first call.
     """
-    return _read_failure(asyncio.run(_call_first(fleet, path, body)))
+    return _convert_failure(asyncio.run(_call_first(fleet, path, body)))
 
 
 def call_every_instance(fleet: Fleet, path: str) -> Sequence[Reply | Failure]:
-    """Call every instance; the answers come in the order of the addresses."""
-    return [_read_failure(reply) for reply in asyncio.run(_call_all(fleet, path))]
+    """Call every instance; the replies are in the order of the addresses."""
+    return [_convert_failure(reply) for reply in asyncio.run(_call_all(fleet, path))]
--- a/packages/client/fulmarctl/_commands.py
+++ b/packages/client/fulmarctl/_commands.py
@@ -16,8 +16,8 @@
 from fulmarward_core.declaration import hash_declaration, parse_declaration
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
-#: Seconds between two looks whether all instances have confirmed.
-LOOK_S = 0.2
+#: Seconds between two checks whether all instances have confirmed.
+POLL_INTERVAL_S = 0.2
 
 
 def _read_file(path: str) -> object:
@@ -122,8 +122,8 @@
             print_failure(make_failure(ResultCode.NOT_CONFIRMED, detail))
 
     def _wait_for_epoch(self, fleet: Fleet, epoch: int, wait_s: float) -> list[str]:
-        """Return the addresses that have not confirmed `epoch` after `wait_s`."""
-        until = time.monotonic() + wait_s
+        """Return the addresses that have not confirmed `epoch` within `wait_s`."""
+        deadline = time.monotonic() + wait_s
         while True:
             replies = call_every_instance(fleet, "/status")
             missing = [
@@ -131,9 +131,9 @@
                 for address, reply in zip(fleet.addresses, replies, strict=True)
                 if isinstance(reply, Failure) or reply.body["head"]["epoch"] < epoch
             ]
-            if not missing or time.monotonic() >= until:
+            if not missing or time.monotonic() >= deadline:
                 return missing
-            time.sleep(LOOK_S)
+            time.sleep(POLL_INTERVAL_S)
 
     @defer
     def diff(self, file: str) -> None:
--- a/packages/client/fulmarctl/_output.py
+++ b/packages/client/fulmarctl/_output.py
@@ -1,4 +1,4 @@
-"""What commands print."""
+"""Output of commands."""
 
 import json
 import sys
@@ -8,7 +8,7 @@
 
 
 def print_reply(body: dict[str, Any], *, as_json: bool) -> None:
-    """Print a result as JSON, or as lines for a person."""
+    """Print a result as JSON or as readable lines."""
     if as_json:
         print(json.dumps(body))
         return
@@ -32,14 +32,14 @@
 
 
 def print_failure(failure: Failure) -> NoReturn:
-    """Print a failure on standard error and exit with its status."""
+    """Print a failure to standard error and exit with its status."""
     entry = CODES[failure.code]
-    told = {
+    summary = {
         "result": failure.code.value,
         "code": failure.code.name.lower(),
         "ran": failure.ran.value,
         "retry_after_ms": failure.retry_after_ms,
     }
     print(failure.message, file=sys.stderr)
-    print(json.dumps(told), file=sys.stderr)
+    print(json.dumps(summary), file=sys.stderr)
     sys.exit(entry.exit_status)
--- a/packages/client/fulmarctl/_settings.py
+++ b/packages/client/fulmarctl/_settings.py
@@ -1,4 +1,4 @@
-"""The client's settings: which instances to ask, and with which token."""
+"""Settings of the client: the instances' addresses and the operator token."""
 
 import ssl
 from dataclasses import dataclass
@@ -39,7 +39,7 @@
 
 
 def load_fleet(path: str) -> Fleet:
-    """Return the fleet that the settings name, or exit naming every fault."""
+    """Load the settings; on errors print all of them and exit."""
     faults: list[Fault] = []
     try:
         value = parse_json(Path(path).read_text(), path, faults)
--- a/packages/client/fulmarctl/tests/test_sessions.py
+++ b/packages/client/fulmarctl/tests/test_sessions.py
@@ -21,7 +21,7 @@
 
 
 class _Terminal:
-    """Runs `fulmarctl` in the folder of a fleet and keeps what it shows."""
+    """Runs `fulmarctl` in the folder of a fleet and records its output."""
 
     def __init__(self, fleet):
         self.fleet, self.lines = fleet, []
@@ -38,7 +38,7 @@
         (self.fleet.folder / name).write_text(json.dumps(value))
 
     async def execute(self, *words, user="marta"):
-        """Return what a command shows, with its exit status."""
+        """Return the output of a command with its exit status."""
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -88,9 +88,9 @@
             await self._change_tokens(fleet)
 
     async def _race(self, fleet, terminal, first):
-        # Two operators apply different files made from the same epoch at the same
-        # moment. One wins; the other is told by whom and at which epoch, and its
-        # file is nowhere in force.
+        # Two operators concurrently apply different files based on the same epoch. One
+        # wins; the other's failure names the winner and the epoch, and its file is in
+        # force on no instance.
         for user in ("marta", "joao"):
             terminal.write(f"{user}.json", _rename(first, user))
         shown = await asyncio.gather(
@@ -111,9 +111,10 @@
             self.assertEqual(found["declaration"], _rename(first, winner))
 
     async def _change_tokens(self, fleet):
-        # An operator token and the platform's token are changed while all runs. The
-        # new ones count within seconds, the old ones no more, and a file that is
-        # wrong changes nothing. A team's key opens nothing here, nor the other way.
+        # An operator token and the peer secrets are changed at run time. The new ones
+        # are accepted within seconds, the old token no more, and an invalid file
+        # changes nothing. A team's key is refused here, as are operator tokens and
+        # peer secrets at the caller address.
         address = fleet.find_instance("i1").operator_address
 
         async def is_accepted(token, path="/status"):
--- a/packages/standins/fulmarward_standins/__main__.py
+++ b/packages/standins/fulmarward_standins/__main__.py
@@ -1,7 +1,8 @@
 """Command line of the stand-ins: `python -m fulmarward_standins SPEC.json`.
 
-The file holds a list of stand-ins to run in this one process, each an object with
-`kind` (`platform`, `engine` or `service`), `address`, `name` and its own members.
+The file holds a list of stand-ins to run in this process. Each is an object with
+`kind` (`platform`, `engine` or `service`), `address`, `name` and the settings of
+its kind.
 """
 
 import asyncio
@@ -44,7 +45,7 @@
 
 
 def run(spec: str) -> None:
-    """Run the stand-ins listed in the JSON file `spec` until told to stop."""
+    """Run the stand-ins listed in the JSON file `spec` until SIGTERM or SIGINT."""
     asyncio.run(_serve(json.loads(Path(spec).read_text())))
 
 
--- a/packages/standins/fulmarward_standins/_ledger.py
+++ b/packages/standins/fulmarward_standins/_ledger.py
@@ -1,4 +1,4 @@
-"""The record of every execution, the witness in every proof."""
+"""The ledger: a record of every execution, against which tests check guarantees."""
 
 import json
 from dataclasses import asdict, dataclass
@@ -11,17 +11,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LedgerEntry:
-    """One thing that a stand-in executed."""
+    """One event in the execution of a request by a stand-in."""
 
-    #: Id of the request, as its caller gave it.
+    #: Request id given by the caller.
     request: str
-    #: Number of the attempt.
     attempt: int
-    #: Name of the team.
     team: str
-    #: Token position, from 0; -1 where there is none.
+    #: Token position from 0, or -1.
     position: int
-    #: First layer run, and the last, both included; -1 where there is none.
+    #: First and last layer run, both inclusive, or -1.
     first_layer: int
     last_layer: int
     #: `began`, `ran`, `ended` or `cancelled`.
@@ -29,7 +27,7 @@
 
 
 class Ledger(list[LedgerEntry]):
-    """All entries; with a file they outlive the stand-in's process."""
+    """All entries; if written to a file they survive the stand-in's process."""
 
     def __init__(self, path: str = "") -> None:
         super().__init__()
@@ -38,12 +36,12 @@
             self._file = Path(path).open("a", buffering=1)  # noqa: SIM115
 
     def append(self, entry: LedgerEntry) -> None:
-        """Add an entry, to the file as well."""
+        """Add an entry and write it to the file, if any."""
         super().append(entry)
         self._write(asdict(entry))
 
-    def note_work(self, request: str, attempt: int, text: str) -> None:
-        """Write in the file which work an execution is of, by a digest of it."""
+    def record_work(self, request: str, attempt: int, text: str) -> None:
+        """Write the digest of an execution's prompt or body to the file."""
         work = digest_work(text)
         self._write({"request": request, "attempt": attempt, "work": work})
 
@@ -53,14 +51,14 @@
 
 
 def digest_work(text: str) -> str:
-    """Return the digest under which a ledger's file names a prompt or a body."""
+    """Return the digest that identifies a prompt or a body in a ledger file."""
     return xxhash.xxh64_hexdigest(text.encode())
 
 
-#: Where an app keeps its ledger.
+#: The app's ledger.
 LEDGER: web.AppKey[Ledger] = web.AppKey("ledger", Ledger)
 
 
 async def show_ledger(request: web.Request) -> web.Response:
-    """Answer `GET /ledger` with every entry, oldest first."""
+    """Handle `GET /ledger`: return every entry, oldest first."""
     return web.json_response([asdict(entry) for entry in request.app[LEDGER]])
--- a/packages/standins/fulmarward_standins/demo.py
+++ b/packages/standins/fulmarward_standins/demo.py
@@ -1,4 +1,4 @@
-"""The demo: the whole path through separate processes, checked line by line."""
+"""The demo: each main feature across separate processes, one checked row each."""
 
 import asyncio
 import json
@@ -23,19 +23,19 @@
     start_process,
 )
 
-#: Where `--keep` writes what runs.
+#: Where `--keep` describes the running processes.
 STATE_PATH = Path(".demo/state.json")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Row:
-    """One line of the demo's table."""
+    """One row of the demo's table."""
 
-    #: What was done.
+    #: The step.
     what: str
-    #: What came of it.
+    #: The observed result.
     found: str
-    #: Whether it is as it should be.
+    #: Whether the result is as expected.
     is_right: bool
 
 
@@ -82,7 +82,7 @@
 async def _stream(
     fleet: Fleet, instance: str, tokens: int, pipeline: str = "summary"
 ) -> tuple[int, bool]:
-    """Return the tokens that arrived, and whether the end was told."""
+    """Return the number of tokens received and whether the end marker arrived."""
     body = {
         "model": pipeline,
         "messages": [{"role": "user", "content": f"sheet [{tokens} tokens]"}],
@@ -243,7 +243,7 @@
 
 
 async def _run_until_signalled(keep: bool) -> bool:
-    """Run until the end or a signal, which is the usual end of a kept fleet."""
+    """Run to the end or until a signal, which is how `--keep` normally ends."""
     running = asyncio.ensure_future(_run(keep))
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -256,7 +256,7 @@
 
 
 def run(keep: bool = False) -> None:
-    """Run the demo; KEEP leaves all running until interrupted."""
+    """Run the demo; KEEP leaves all processes running until interrupted."""
     sys.exit(0 if asyncio.run(_run_until_signalled(keep)) else 1)
 
 
--- a/packages/standins/fulmarward_standins/engine/__init__.py
+++ b/packages/standins/fulmarward_standins/engine/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: continuous batching, streams, layer steps, orders."""
+"""Stand-in for a model engine: batching, streams, layer steps, placement orders."""
 
 from fulmarward_standins.engine._app import make_engine_app
 from fulmarward_standins.engine._model import (
--- a/packages/standins/fulmarward_standins/engine/_app.py
+++ b/packages/standins/fulmarward_standins/engine/_app.py
@@ -1,4 +1,4 @@
-"""The engine's HTTP protocol; docs/STAND-INS.md lists the calls."""
+"""The engine's HTTP API; docs/STAND-INS.md lists the calls."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from fulmarward_standins._faults import SWITCHES, change_switches, show_faults
+from fulmarward_standins._faults import SWITCHES, change_switches, inject_faults
 from fulmarward_standins._ledger import LEDGER, Ledger, show_ledger
 from fulmarward_standins.engine._batch import Batch, Stream
 from fulmarward_standins.engine._cache import PrefixCache
@@ -26,14 +26,14 @@
     run_step,
 )
 
-#: How often the load report is taken, in seconds.
-REPORT_EVERY_S = 0.05
+#: Seconds between two samples of the load.
+REPORT_INTERVAL_S = 0.05
 
 _SPEC: web.AppKey[EngineSpec] = web.AppKey("spec", EngineSpec)
 _BATCH: web.AppKey[Batch] = web.AppKey("batch", Batch)
 _STEPS: web.AppKey[StepState] = web.AppKey("steps", StepState)
 _REPORTS: web.AppKey[deque] = web.AppKey("reports", deque)
-_STARTED: web.AppKey[float] = web.AppKey("started", float)
+_STARTED_AT: web.AppKey[float] = web.AppKey("started", float)
 _HELD: web.AppKey[dict[str, Any]] = web.AppKey("held", dict)
 
 
@@ -42,7 +42,7 @@
 
 
 def _find_refusal(app: web.Application, body: dict) -> web.Response | None:
-    """Return why a stream cannot start, before anything of it is done."""
+    """Return the refusal of a stream that cannot start, before any side effect."""
     batch, spec, switches = app[_BATCH], app[_SPEC], app[SWITCHES]
     key = (body["request"], body["attempt"])
     if key in batch.closed:
@@ -54,8 +54,8 @@
     if switches.get("refuse"):
         return _refuse("refused")
     held = app[_HELD]
-    whole = held["layers"] == [0, spec.model_layers]
-    if held["model"] != body["model"] or not whole:
+    holds_all_layers = held["layers"] == [0, spec.model_layers]
+    if held["model"] != body["model"] or not holds_all_layers:
         return _refuse("not_loaded")
     if body.get("adapter") and body["adapter"] not in held["adapters"]:
         return _refuse("adapter_not_loaded")
@@ -65,7 +65,7 @@
 
 
 async def _start_stream(request: web.Request) -> web.StreamResponse:
-    """`POST /v1/streams`: start a stream and send its events, a line each."""
+    """`POST /v1/streams`: start a stream and send its events as JSON lines."""
     body = await request.json()
     refusal = _find_refusal(request.app, body)
     if refusal is not None:
@@ -75,10 +75,10 @@
         attempt=body["attempt"],
         team=body["team"],
         prompt=body["prompt"],
-        most=body["max_tokens"],
+        max_tokens=body["max_tokens"],
         urgency=body.get("urgency", 1),
     )
-    request.app[LEDGER].note_work(stream.request, stream.attempt, stream.prompt)
+    request.app[LEDGER].record_work(stream.request, stream.attempt, stream.prompt)
     request.app[_BATCH].start(stream)
     return await _send_events(request, stream, 0, body.get("reader", ""))
 
@@ -86,7 +86,7 @@
 async def _send_events(
     request: web.Request, stream: Stream, after: int, reader: str
 ) -> web.StreamResponse:
-    """Count the reader while its connection is served."""
+    """Send a stream's events and count its reader while the connection is open."""
     stream.readers[reader] += 1
     try:
         return await _relay_events(request, stream, after)
@@ -97,9 +97,9 @@
 async def _relay_events(
     request: web.Request, stream: Stream, after: int
 ) -> web.StreamResponse:
-    """Send the events after number `after`; a lost reader does not end the stream.
+    """Send the events after number `after`; the stream outlives a lost reader.
 
-    Events are numbered from 1; the last has `end` in place of `text`.
+    Events are numbered from 1; the last has `end` instead of `text`.
     """
     switches = request.app[SWITCHES]
     response = web.StreamResponse(headers={"Content-Type": "application/x-ndjson"})
@@ -132,7 +132,7 @@
 
 
 def _make_event(stream: Stream, number: int, switches: dict) -> dict:
-    """Return event `number`; the switch `foreign_at` puts another request's in."""
+    """Return event `number`; the switch `foreign_at` fakes another request's id."""
     is_foreign = switches.get("foreign_at") == number
     return {
         "request": "foreign" if is_foreign else stream.request,
@@ -143,7 +143,7 @@
 
 
 async def _resume_stream(request: web.Request) -> web.StreamResponse:
-    """`GET /v1/streams/REQUEST/ATTEMPT?after=N`: go on from event N."""
+    """`GET /v1/streams/REQUEST/ATTEMPT?after=N`: resume after event N."""
     key = (request.match_info["request"], int(request.match_info["attempt"]))
     stream = request.app[_BATCH].streams.get(key)
     if stream is None:
@@ -153,26 +153,27 @@
 
 
 async def _cancel_stream(request: web.Request) -> web.Response:
-    """`DELETE /v1/streams/REQUEST/ATTEMPT`: end it, or close its id for ever.
+    """`DELETE /v1/streams/REQUEST/ATTEMPT`: cancel it, or block its id if unknown.
 
-    `only_reader=NAME` leaves a stream alone that somebody else reads.
+    `only_reader=NAME` does not cancel a stream that has another reader.
     """
     key = (request.match_info["request"], int(request.match_info["attempt"]))
     state = request.app[_BATCH].cancel(key, request.query.get("only_reader", ""))
-    return web.json_response({"state": state, "up_s": _read_uptime(request.app)})
+    return web.json_response({"state": state, "up_s": _get_uptime(request.app)})
 
 
-def _read_uptime(app: web.Application) -> float:
-    return round(time.monotonic() - app[_STARTED], 3)
+def _get_uptime(app: web.Application) -> float:
+    return round(time.monotonic() - app[_STARTED_AT], 3)
 
 
 async def _run_step(request: web.Request) -> web.Response:
     """`POST /v1/steps`: run one token through a range of layers.
 
-    `position`, `first_layer` and `last_layer` say what; `input` is what the range
-    before gave, for layer 0 what the last range gave for the position before. At
-    position 0 the first and the last range also get `prompt` and `max_tokens`. The
-    last range's answer has the token's `text`, and `end` with the last token.
+    `position`, `first_layer` and `last_layer` select the step; `input` is the output
+    of the previous range, for layer 0 the last range's output at the previous
+    position. At position 0 the first and the last range also get `prompt` and
+    `max_tokens`. The last range returns the token's `text`, and `end` with the last
+    token.
     """
     body = await request.json()
     held, switches = request.app[_HELD], request.app[SWITCHES]
@@ -201,9 +202,9 @@
 
 
 async def _read_step(request: web.Request) -> web.Response:
-    """`GET /v1/steps/REQUEST/ATTEMPT/FIRST?after=P`: what the steps after P gave.
+    """`GET /v1/steps/REQUEST/ATTEMPT/FIRST?after=P`: the outputs of steps after P.
 
-    `term=N` claims the attempt: steps and closing by older drivers are refused.
+    `term=N` claims the attempt: older drivers can no longer run steps or close it.
     """
     key, cache = _get_cache(request)
     claim_attempt(request.app[_STEPS], key[:2], int(request.query.get("term", "0")))
@@ -217,17 +218,17 @@
 async def _close_steps(request: web.Request) -> web.Response:
     """`DELETE /v1/steps/REQUEST/ATTEMPT`: refuse all later steps.
 
-    `term=N` leaves an attempt alone that a newer driver has claimed.
+    `term=N` does not close an attempt that a newer driver has claimed.
     """
     info = request.match_info
     key = (info["request"], int(info["attempt"]))
     term = request.query.get("term")
     state = close_attempt(request.app[_STEPS], key, None if term is None else int(term))
-    return web.json_response({"state": state, "up_s": _read_uptime(request.app)})
+    return web.json_response({"state": state, "up_s": _get_uptime(request.app)})
 
 
 async def _export_cache(request: web.Request) -> web.Response:
-    """`GET /v1/kv/REQUEST/ATTEMPT/FIRST`: export a KV cache; it leaves this engine."""
+    """`GET /v1/kv/REQUEST/ATTEMPT/FIRST`: export and remove a KV cache."""
     key, cache = _get_cache(request)
     if cache is None:
         return _refuse("no_cache", 404)
@@ -253,16 +254,16 @@
 
 
 async def _show_load(request: web.Request) -> web.Response:
-    """`GET /v1/load`: the load, as it was some time ago."""
+    """`GET /v1/load`: the load as of `load_lag_s` seconds ago."""
     app = request.app
     lag = app[SWITCHES].get("load_lag_s", app[_SPEC].load_lag_s)
     horizon = time.monotonic() - lag
-    shown = {"running": 0, "waiting": 0}
-    for at, report in app[_REPORTS]:
-        if at <= horizon:
-            shown = report
-    lie = app[SWITCHES].get("lie")
-    load = lie or shown
+    delayed_load = {"running": 0, "waiting": 0}
+    for taken_at, report in app[_REPORTS]:
+        if taken_at <= horizon:
+            delayed_load = report
+    fake_load = app[SWITCHES].get("lie")
+    load = fake_load or delayed_load
     leaving = bool(app[SWITCHES].get("leaving"))
     return web.json_response(
         {"slots": app[_SPEC].slots, **load, "leaving": leaving, "held": app[_HELD]}
@@ -276,8 +277,8 @@
     return web.json_response({"events": events, "block_words": 16})
 
 
-async def _take_order(request: web.Request) -> web.Response:
-    """`PUT /v1/held`: hold what the body says; it carries a fencing number."""
+async def _apply_order(request: web.Request) -> web.Response:
+    """`PUT /v1/held`: load what the body wants, checked by its fencing number."""
     app, body = request.app, await request.json()
     held = app[_HELD]
     if app[_SPEC].checks_fencing and body["fencing"] < held["fencing"]:
@@ -296,17 +297,17 @@
 
 
 async def _show_held(request: web.Request) -> web.Response:
-    """`GET /v1/held`: what the engine holds now."""
+    """`GET /v1/held`: the model, layers and adapters that the engine holds."""
     return web.json_response({"held": request.app[_HELD]})
 
 
-async def _keep_reports(app: web.Application) -> Any:  # noqa: ANN401
+async def _collect_reports(app: web.Application) -> Any:  # noqa: ANN401
     async def take_reports() -> None:
         while True:
             batch = app[_BATCH]
             load = {"running": len(batch.running), "waiting": len(batch.waiting)}
             app[_REPORTS].append((time.monotonic(), load))
-            await asyncio.sleep(REPORT_EVERY_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     task = asyncio.create_task(take_reports())
     yield
@@ -317,9 +318,9 @@
 
 def make_engine_app(spec: EngineSpec) -> web.Application:
     """Return the engine's web application."""
-    app = web.Application(middlewares=[show_faults], client_max_size=8 * 1024 * 1024)
+    app = web.Application(middlewares=[inject_faults], client_max_size=8 * 1024 * 1024)
     app[_SPEC] = spec
-    app[_STARTED] = time.monotonic()
+    app[_STARTED_AT] = time.monotonic()
     app[SWITCHES] = {}
     app[LEDGER] = Ledger(spec.ledger_file)
     cache = PrefixCache(spec=spec, read_clock=time.monotonic)
@@ -338,7 +339,7 @@
         "orders": 0,
         "loading": False,
     }
-    app.cleanup_ctx.append(_keep_reports)
+    app.cleanup_ctx.append(_collect_reports)
     stream = "/v1/streams/{request}/{attempt}"
     cache_path = "/v1/kv/{request}/{attempt}/{first}"
     app.add_routes(
@@ -353,7 +354,7 @@
             web.put(cache_path, _import_cache),
             web.get("/v1/load", _show_load),
             web.get("/v1/cache-events", _list_events),
-            web.put("/v1/held", _take_order),
+            web.put("/v1/held", _apply_order),
             web.get("/v1/held", _show_held),
             web.get("/ledger", show_ledger),
             web.post("/control", change_switches),
--- a/packages/standins/fulmarward_standins/engine/_batch.py
+++ b/packages/standins/fulmarward_standins/engine/_batch.py
@@ -1,4 +1,4 @@
-"""Streams and the batch that generates their tokens."""
+"""Streams and the continuous batch that generates their tokens."""
 
 import asyncio
 from collections import Counter
@@ -14,34 +14,34 @@
 )
 from fulmarward_standins.engine._spec import EngineSpec
 
-#: Ended streams that are kept for callers that come back.
-KEPT_STREAMS = 20_000
+#: Streams kept so that callers can resume them.
+MAX_KEPT_STREAMS = 20_000
 
 StreamKey = tuple[str, int]
 
 
 @dataclass(kw_only=True)
 class Stream:
-    """One answer being generated, kept until it is old."""
+    """One response being generated, kept for a while after its end."""
 
     request: str
     attempt: int
     team: str
     prompt: str
-    most: int
+    max_tokens: int
     urgency: int
-    #: Texts of the tokens so far.
+    #: Texts of the tokens generated so far.
     tokens: list[str] = field(default_factory=list)
-    #: Empty while it runs, else `stop`, `length`, `cancelled` or `failed`.
+    #: Empty while the stream runs, else `stop`, `length`, `cancelled` or `failed`.
     end: str = ""
-    #: Prompt tokens that the prefix cache saved.
+    #: Prompt tokens found in the prefix cache.
     cached_tokens: int = 0
-    #: Set and replaced at every change.
+    #: Set and replaced on every change.
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    #: Open connections by the reader's name.
+    #: Open connections by reader name.
     readers: Counter[str] = field(default_factory=Counter)
 
-    def announce(self) -> None:
+    def notify_readers(self) -> None:
         """Wake all readers."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -56,14 +56,14 @@
     cache: PrefixCache
     switches: dict
     streams: dict[StreamKey, Stream] = field(default_factory=dict)
-    #: Stream ids closed before they began: they never will.
+    #: Ids cancelled before their stream started, which can no longer start.
     closed: set[StreamKey] = field(default_factory=set)
     waiting: list[Stream] = field(default_factory=list)
     running: dict[StreamKey, int] = field(default_factory=dict)
     tasks: set[asyncio.Task] = field(default_factory=set)
 
-    def note(self, stream: Stream, event: str, position: int = -1) -> None:
-        """Write one event of a stream in the ledger."""
+    def record(self, stream: Stream, event: str, position: int = -1) -> None:
+        """Record an event of a stream in the ledger."""
         has_layers = event == "ran"
         self.ledger.append(
             LedgerEntry(
@@ -78,18 +78,18 @@
         )
 
     def start(self, stream: Stream) -> None:
-        """Take a stream in; it runs when a slot is free, the most urgent first."""
+        """Queue a stream; it runs once a slot is free, the most urgent first."""
         self.streams[stream.request, stream.attempt] = stream
-        self.note(stream, "began")
+        self.record(stream, "began")
         self.waiting.append(stream)
         self.waiting.sort(key=lambda item: item.urgency)
         self._fill_slots()
-        self._forget_old()
+        self._drop_oldest_streams()
 
     def cancel(self, key: StreamKey, only_reader: str = "") -> str:
-        """End a stream, or close its id for ever; return what state it had.
+        """Cancel a stream, or block its id if unknown; return its previous state.
 
-        With `only_reader` a stream that somebody else reads goes on.
+        With `only_reader` a stream that has another reader is not cancelled.
         """
         stream = self.streams.get(key)
         if stream is None:
@@ -104,11 +104,11 @@
 
     def _end(self, stream: Stream, end: str) -> None:
         stream.end = end
-        self.note(stream, "cancelled" if end == "cancelled" else "ended")
+        self.record(stream, "cancelled" if end == "cancelled" else "ended")
         if stream in self.waiting:
             self.waiting.remove(stream)
         self.running.pop((stream.request, stream.attempt), None)
-        stream.announce()
+        stream.notify_readers()
         self._fill_slots()
 
     def _fill_slots(self) -> None:
@@ -122,9 +122,9 @@
     async def _generate(self, stream: Stream) -> None:
         prompt_tokens = len(stream.prompt.split())
         stream.cached_tokens = self.cache.use(stream.prompt)
-        to_read = prompt_tokens - stream.cached_tokens
-        await asyncio.sleep(to_read / self.spec.prefill_tokens_per_ms / 1000)
-        for position in range(count_answer_tokens(stream.prompt, stream.most)):
+        uncached_tokens = prompt_tokens - stream.cached_tokens
+        await asyncio.sleep(uncached_tokens / self.spec.prefill_tokens_per_ms / 1000)
+        for position in range(count_answer_tokens(stream.prompt, stream.max_tokens)):
             token_ms = self.switches.get("token_ms", self.spec.token_ms)
             await asyncio.sleep(token_ms / 1000)
             if stream.end:
@@ -134,14 +134,14 @@
                 return
             value = start_position(stream.prompt, position)
             last = run_layers(value, 0, self.spec.model_layers)
-            self.note(stream, "ran", position)
+            self.record(stream, "ran", position)
             stream.tokens.append(make_word(last))
-            stream.announce()
-        is_cut = len(stream.tokens) >= stream.most
+            stream.notify_readers()
+        is_cut = len(stream.tokens) >= stream.max_tokens
         self._end(stream, "length" if is_cut else "stop")
 
-    def _forget_old(self) -> None:
-        while len(self.streams) > KEPT_STREAMS:
+    def _drop_oldest_streams(self) -> None:
+        while len(self.streams) > MAX_KEPT_STREAMS:
             key = next(iter(self.streams))
             if not self.streams[key].end:
                 return
--- a/packages/standins/fulmarward_standins/engine/_spec.py
+++ b/packages/standins/fulmarward_standins/engine/_spec.py
@@ -1,43 +1,43 @@
-"""How an engine stand-in starts."""
+"""Settings of an engine stand-in."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(kw_only=True)
 class EngineSpec:
-    """The settings of one engine stand-in."""
+    """Settings of an engine stand-in."""
 
-    #: Name for people.
+    #: Display name.
     name: str
-    #: Model held at the start.
+    #: Model loaded at the start.
     model: str
-    #: Version held at the start.
+    #: Model version loaded at the start.
     version: str = "v1"
-    #: Number of layers of the whole model.
+    #: Number of layers of the model.
     model_layers: int = 24
-    #: First layer held, and one past the last.
+    #: Range of layers held, the end exclusive.
     layers: tuple[int, int] = (0, 24)
-    #: Adapters held at the start.
+    #: Adapters loaded at the start.
     adapters: list[str] = field(default_factory=list)
-    #: Streams that run at once; more wait.
+    #: Streams that run concurrently; more are queued.
     slots: int = 16
-    #: Streams that may wait; more are refused.
+    #: Length of the queue; more streams are refused.
     waiting: int = 64
     #: Time between two tokens of a stream, in milliseconds.
     token_ms: float = 10.0
-    #: Prompt tokens read in a millisecond.
+    #: Prompt tokens processed per millisecond.
     prefill_tokens_per_ms: float = 20.0
-    #: How late the load report is, in seconds.
+    #: Delay of the load report, in seconds.
     load_lag_s: float = 0.2
-    #: Prefixes that the cache holds.
+    #: Capacity of the prefix cache, in prefixes.
     cache_entries: int = 64
-    #: How late a cache event is published, in seconds.
+    #: Delay of cache events, in seconds.
     event_lag_s: float = 0.2
-    #: One event in this many is lost; 0 loses none.
+    #: Every n-th event is lost; 0 loses none.
     lose_event_every: int = 0
-    #: Whether an order with an old fencing number is refused.
+    #: Whether orders with an old fencing number are refused.
     checks_fencing: bool = True
-    #: How long loading weights takes, in milliseconds.
+    #: Time to load weights, in milliseconds.
     load_ms: float = 200.0
-    #: File to which the ledger is also written; empty for none.
+    #: File to which the ledger is also written, or empty.
     ledger_file: str = ""
--- a/packages/standins/fulmarward_standins/engine/_steps.py
+++ b/packages/standins/fulmarward_standins/engine/_steps.py
@@ -1,4 +1,4 @@
-"""Layer steps: one token's pass through the layers that this engine holds."""
+"""Layer steps: runs one token through a range of layers of this engine."""
 
 from dataclasses import dataclass, field
 
@@ -10,41 +10,41 @@
     start_position,
 )
 
-#: Caches that are kept, the oldest go first.
-KEPT_CACHES = 20_000
+#: Most caches kept; the oldest are dropped first.
+MAX_KEPT_CACHES = 20_000
 
 CacheKey = tuple[str, int, int]
 
 
 @dataclass(kw_only=True)
 class KvCache:
-    """What a request's earlier tokens left in this engine's layers."""
+    """KV cache of one attempt in a range of this engine's layers."""
 
     team: str
     first_layer: int
     end_layer: int
-    #: The prompt and the most tokens; empty in ranges between the first and the last.
+    #: Prompt and token limit; known only to the first and the last range.
     prompt: str = ""
     most: int = 0
-    #: Version of the model that its steps ran, as far as they said.
+    #: Model version that the first step named, or empty.
     version: str = ""
-    #: What each step gave, by position, kept for lost replies.
+    #: Output of each step by position, kept so that lost replies can be read again.
     outputs: list[int] = field(default_factory=list)
 
 
 @dataclass(kw_only=True)
 class StepState:
-    """The caches of one engine, by (request, attempt, first layer)."""
+    """The KV caches of one engine, by (request, attempt, first layer)."""
 
     ledger: list[LedgerEntry]
     #: Layers of the whole model.
     model_layers: int = 24
     caches: dict[CacheKey, KvCache] = field(default_factory=dict)
-    #: The newest driver's term by attempt; an older driver is refused.
+    #: Newest driver's term by attempt; older drivers are refused.
     terms: dict[tuple[str, int], int] = field(default_factory=dict)
-    #: Attempts that take no more steps.
+    #: Attempts that accept no more steps.
     closed: set[tuple[str, int]] = field(default_factory=set)
-    #: Caches that were exported and take no more steps here.
+    #: Caches that were exported and accept no more steps here.
     moved: set[CacheKey] = field(default_factory=set)
 
 
@@ -54,12 +54,12 @@
 
     #: `closed`, `superseded`, `moved`, `seen`, `out_of_order` or `no_cache`.
     error: str
-    #: The position that the engine would run.
+    #: The position that the engine expects next.
     expected: int
 
 
 def run_step(state: StepState, step: dict) -> KvCache | StepRefusal:
-    """Run one step, or refuse one that was seen before or is out of order."""
+    """Run one step, or refuse it if it ran before or is out of order."""
     request, attempt = step["request"], step["attempt"]
     first, end = step["first_layer"], step["last_layer"] + 1
     key = (request, attempt, first)
@@ -106,13 +106,13 @@
         version=step.get("version") or "",
     )
     state.caches[key] = cache
-    if len(state.caches) > KEPT_CACHES:
+    if len(state.caches) > MAX_KEPT_CACHES:
         del state.caches[next(iter(state.caches))]
     return cache
 
 
 def describe_steps(state: StepState, cache: KvCache, after: int) -> list[dict]:
-    """Return what the steps after position `after` gave."""
+    """Return the outputs of the steps after position `after`."""
     return [
         {"position": position, "output": cache.outputs[position]}
         | _describe_token(state, cache, position)
@@ -121,7 +121,7 @@
 
 
 def _describe_token(state: StepState, cache: KvCache, position: int) -> dict:
-    """Return the token's text and how the answer ends; the last range knows both."""
+    """Return the token's text and end reason, which only the last range knows."""
     if cache.end_layer != state.model_layers:
         return {}
     tokens = count_answer_tokens(cache.prompt, cache.most)
@@ -134,21 +134,21 @@
 def close_attempt(
     state: StepState, attempt_key: tuple[str, int], term: int | None = None
 ) -> str:
-    """Refuse all later steps of an attempt; return what state it had.
+    """Refuse all later steps of an attempt; return its previous state.
 
-    With a `term` an attempt that a newer driver has claimed goes on.
+    With a `term` an attempt that a newer driver has claimed is not closed.
     """
-    mine = [key for key in state.caches if key[:2] == attempt_key]
+    attempt_caches = [key for key in state.caches if key[:2] == attempt_key]
     if term is not None and term < state.terms.get(attempt_key, 0):
         return "driven"
     state.closed.add(attempt_key)
-    for key in mine:
+    for key in attempt_caches:
         del state.caches[key]
-    return "cancelled" if mine else "closed_before_start"
+    return "cancelled" if attempt_caches else "closed_before_start"
 
 
 def claim_attempt(state: StepState, attempt_key: tuple[str, int], term: int) -> bool:
-    """Make a driver's term the newest; return whether no newer one is known."""
+    """Record a driver's term; return whether no newer one is known."""
     newest = state.terms.get(attempt_key, 0)
     if term > newest:
         state.terms[attempt_key] = term
@@ -156,12 +156,12 @@
 
 
 def export_cache(state: StepState, key: CacheKey) -> KvCache:
-    """Give a cache away; its steps are refused here from now on."""
+    """Remove and return a cache; its further steps are refused here."""
     state.moved.add(key)
     return state.caches.pop(key)
 
 
 def import_cache(state: StepState, key: CacheKey, cache: KvCache) -> None:
-    """Take a cache in, perhaps one that was given away before."""
+    """Store a cache, which may have been exported from here before."""
     state.moved.discard(key)
     state.caches[key] = cache
--- a/packages/standins/fulmarward_standins/faults/__init__.py
+++ b/packages/standins/fulmarward_standins/faults/__init__.py
@@ -1,6 +1,6 @@
-"""Random but seeded faults under mixed load, checked against every ledger."""
+"""Seeded fault injection under mixed load, checked against every ledger."""
 
-from fulmarward_standins.faults._check import Verdict, check_told
-from fulmarward_standins.faults._told import Ending, Told
+from fulmarward_standins.faults._check import Verdict, check_records
+from fulmarward_standins.faults._work_records import Outcome, WorkRecord
 
-__all__ = ["Ending", "Told", "Verdict", "check_told"]
+__all__ = ["Outcome", "Verdict", "WorkRecord", "check_records"]
--- a/packages/standins/fulmarward_standins/faults/__main__.py
+++ b/packages/standins/fulmarward_standins/faults/__main__.py
@@ -10,8 +10,8 @@
 import fire
 
 from fulmarward_standins.faults._callers import Caller, run_caller
-from fulmarward_standins.faults._check import Verdict, check_told
-from fulmarward_standins.faults._schedule import draw_faults, run_faults
+from fulmarward_standins.faults._check import Verdict, check_records
+from fulmarward_standins.faults._schedule import draw_faults, run_schedule
 from fulmarward_standins.harness import (
     Fleet,
     FleetPlan,
@@ -20,25 +20,25 @@
     start_fleet,
 )
 
-#: Callers that work side by side.
+#: Concurrent callers.
 CALLERS = 24
 
-#: Seconds in which callers end their last work after the last fault.
-SETTLE_S = 60.0
+#: Seconds that callers get after the last fault to finish their current work.
+DRAIN_TIMEOUT_S = 60.0
 
-_PLACES = ("lx-alcantara", "lx-oriente", "lx-carnaxide")
+_DATA_CENTRES = ("lx-alcantara", "lx-oriente", "lx-carnaxide")
 
-#: Layers of the three stages of a chain.
+#: Layer ranges of the three stages of a chain.
 _STAGES = ((0, 8), (8, 16), (16, 24))
 
 
 def _make_plan() -> FleetPlan:
     instances = [
-        InstancePlan(name=f"i{number}", data_centre=_PLACES[number % 3])
+        InstancePlan(name=f"i{number}", data_centre=_DATA_CENTRES[number % 3])
         for number in range(4)
     ]
     engines = [
-        TargetPlan(name=f"e{number}", data_centre=_PLACES[number % 3])
+        TargetPlan(name=f"e{number}", data_centre=_DATA_CENTRES[number % 3])
         for number in range(3)
     ]
     stages = [
@@ -46,7 +46,7 @@
             name=f"c{number}-{copy}",
             serves="anchovy",
             layers=layers,
-            data_centre=_PLACES[number],
+            data_centre=_DATA_CENTRES[number],
         )
         for number, layers in enumerate(_STAGES)
         for copy in range(2)
@@ -56,15 +56,18 @@
             name=f"s{number}",
             kind="service",
             serves="callsheet",
-            data_centre=_PLACES[number],
+            data_centre=_DATA_CENTRES[number],
         )
         for number in range(2)
     ]
     return FleetPlan(instances=instances, targets=engines + stages + services)
 
 
-def _read_lines(fleet: Fleet) -> list[dict]:
-    """Return the lines of all ledger files; a killed writer's last may be cut."""
+def _read_ledger_lines(fleet: Fleet) -> list[dict]:
+    """Return the lines of all ledger files.
+
+    The last line of a killed writer may be cut and is skipped.
+    """
     lines = []
     for path in sorted(fleet.folder.glob("*.ledger")):
         for text in path.read_text().splitlines():
@@ -77,9 +80,9 @@
 
 async def _run(seed: int, faults: int) -> Verdict:
     plan = _make_plan()
-    numbers = itertools.count(1)
-    # The folder is known only when the fleet starts; the file's name is relative
-    # to it, so that each target writes beside its log.
+    work_numbers = itertools.count(1)
+    # The fleet's folder is known only once it starts, so the file name is relative
+    # to it and each target writes its ledger next to its log.
     for target in plan.targets:
         target.stand_in["ledger_file"] = f"{target.name}.ledger"
     async with start_fleet(plan) as fleet:
@@ -90,29 +93,29 @@
             Caller(
                 fleet=fleet,
                 generator=random.Random(seed * 1000 + index),
-                next_number=lambda: next(numbers),
+                next_number=lambda: next(work_numbers),
             )
             for index in range(CALLERS)
         ]
         stop = asyncio.Event()
-        working = [asyncio.create_task(run_caller(item, stop)) for item in callers]
-        await run_faults(fleet, draw_faults(fleet, seed=seed, count=faults))
+        tasks = [asyncio.create_task(run_caller(item, stop)) for item in callers]
+        await run_schedule(fleet, draw_faults(fleet, seed=seed, count=faults))
         stop.set()
-        await asyncio.wait(working, timeout=SETTLE_S)
-        for task in working:
+        await asyncio.wait(tasks, timeout=DRAIN_TIMEOUT_S)
+        for task in tasks:
             task.cancel()
         await fleet.session.close()
-        told = [item for caller in callers for item in caller.told]
-        return check_told(told, _read_lines(fleet))
+        records = [item for caller in callers for item in caller.records]
+        return check_records(records, _read_ledger_lines(fleet))
 
 
 def run(seed: int = 1, faults: int = 20) -> None:
-    """Run FAULTS faults drawn from SEED under mixed load, and check every ledger."""
+    """Inject FAULTS faults drawn from SEED under mixed load and check every ledger."""
     verdict = asyncio.run(_run(seed, faults))
     print(f"seed {seed}, {faults} faults")
     print(f"requests: {verdict.requests}")
-    for ending, count in sorted(verdict.endings.items()):
-        print(f"  {ending}: {count}")
+    for outcome, count in sorted(verdict.outcomes.items()):
+        print(f"  {outcome}: {count}")
     print(f"run twice (must be 0): {verdict.run_twice}")
     print(f'wrongly told "not run" (must be 0): {verdict.wrongly_not_run}')
     print(f"wrong or cut answers told whole (must be 0): {verdict.wrong_answers}")
--- a/packages/standins/fulmarward_standins/faults/_check.py
+++ b/packages/standins/fulmarward_standins/faults/_check.py
@@ -1,35 +1,35 @@
-"""Every ledger against what every caller was told."""
+"""Checks the ledgers against the outcomes reported to callers."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
-from fulmarward_standins.faults._told import Ending, Told
+from fulmarward_standins.faults._work_records import Outcome, WorkRecord
 
 
 @dataclass(frozen=True, kw_only=True)
 class Verdict:
-    """What a run came to; the last four have to be 0."""
+    """Result of a run; the last four counts have to be 0."""
 
-    #: Pieces of work.
+    #: Number of requests.
     requests: int
-    #: By ending and result number.
-    endings: Mapping[str, int]
-    #: Work that may run once and ran more often.
+    #: Requests by outcome and result number.
+    outcomes: Mapping[str, int]
+    #: Requests that may run at most once and ran more often.
     run_twice: int
-    #: Work told not to have run, that ran.
+    #: Requests reported as not run that ran.
     wrongly_not_run: int
-    #: Answers told as whole that are not this work's whole answer.
+    #: Responses reported as complete that differ from the expected one.
     wrong_answers: int
-    #: Layers run twice or out of order for a token of an attempt.
+    #: Layers run twice or out of order for one token of an attempt.
     wrong_layers: int
-    #: The work behind the counts, a line each.
+    #: One line for each request in the counts.
     details: tuple[str, ...] = ()
 
     @property
     def is_right(self) -> bool:
-        """Whether every promise was kept."""
+        """Whether no guarantee was violated."""
         faults = (
             self.run_twice,
             self.wrongly_not_run,
@@ -39,42 +39,46 @@
         return not any(faults)
 
 
-def check_told(told: Iterable[Told], lines: Iterable[Mapping[str, Any]]) -> Verdict:
-    """Return the verdict on what callers were told, given the ledgers' lines."""
-    told, lines = list(told), list(lines)
+def check_records(
+    records: Iterable[WorkRecord], lines: Iterable[Mapping[str, Any]]
+) -> Verdict:
+    """Check the callers' records against the lines of the ledgers."""
+    records, lines = list(records), list(lines)
     runs = _list_runs(lines)
-    twice = [item for item in told if not item.idempotent and len(runs[item.work]) > 1]
-    wrongly = [
-        item for item in told if item.ending is Ending.NOT_RUN and runs[item.work]
+    run_twice = [
+        item for item in records if not item.idempotent and len(runs[item.work]) > 1
     ]
-    wrong = [item for item in told if _is_wrong_answer(item)]
+    wrongly_not_run = [
+        item for item in records if item.outcome is Outcome.NOT_RUN and runs[item.work]
+    ]
+    wrong_answers = [item for item in records if _is_wrong_answer(item)]
     return Verdict(
-        requests=len(told),
-        endings=Counter(_name_ending(item) for item in told),
-        run_twice=len(twice),
-        wrongly_not_run=len(wrongly),
-        wrong_answers=len(wrong),
+        requests=len(records),
+        outcomes=Counter(_describe_outcome(item) for item in records),
+        run_twice=len(run_twice),
+        wrongly_not_run=len(wrongly_not_run),
+        wrong_answers=len(wrong_answers),
         wrong_layers=_count_wrong_layers(lines),
         details=tuple(
             f"{item}; ran as {sorted(runs[item.work])}"
-            for item in [*twice, *wrongly, *wrong]
+            for item in [*run_twice, *wrongly_not_run, *wrong_answers]
         ),
     )
 
 
-def _name_ending(item: Told) -> str:
-    return f"{item.ending.value} {item.result or ''}".strip()
+def _describe_outcome(item: WorkRecord) -> str:
+    return f"{item.outcome.value} {item.result or ''}".strip()
 
 
-def _is_wrong_answer(item: Told) -> bool:
-    is_compared = item.ending is Ending.WHOLE and item.expected != ""
+def _is_wrong_answer(item: WorkRecord) -> bool:
+    is_compared = item.outcome is Outcome.WHOLE and item.expected != ""
     return is_compared and item.answer != item.expected
 
 
 def _list_runs(
     lines: list[Mapping[str, Any]],
 ) -> dict[str, set[tuple[str, int]]]:
-    """Return the executions of each work: each (request, attempt) is one."""
+    """Return the executions by work digest; each (request, attempt) is one."""
     runs: dict[str, set[tuple[str, int]]] = defaultdict(set)
     for line in lines:
         if "work" in line:
@@ -83,7 +87,7 @@
 
 
 def _count_wrong_layers(lines: list[Mapping[str, Any]]) -> int:
-    """Return the layer runs that are doubled, and tokens with a gap before them."""
+    """Count layers that ran twice and tokens that skipped an earlier layer."""
     layers: dict[tuple[str, int, int], list[int]] = defaultdict(list)
     for line in lines:
         if line.get("event") == "ran":
--- a/packages/standins/fulmarward_standins/faults/_told.py
+++ b/packages/standins/fulmarward_standins/faults/_work_records.py
@@ -1,36 +1,35 @@
-"""What a caller was told of one piece of work."""
+"""Outcome of a request as its caller saw it."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
-class Ending(StrEnum):
-    """How a piece of work ended for its caller."""
+class Outcome(StrEnum):
+    """How a request ended for its caller."""
 
     WHOLE = "whole"
     NOT_RUN = "not_run"
     FAILED = "failed"
     COMPLETE = "complete"
     UNKNOWN = "unknown"
-    #: The caller gave up without a last answer; nothing is claimed to it.
+    #: The caller gave up without a final response, so nothing is claimed.
     GAVE_UP = "gave_up"
 
 
 @dataclass(kw_only=True)
-class Told:
-    """One piece of work and what its caller was told. Each work is unique."""
+class WorkRecord:
+    """One request and its reported outcome. The text of each request is unique."""
 
-    #: What kind of work it is, for people.
+    #: Kind of request, for display.
     kind: str
     #: Digest of the prompt or body, as ledgers name it.
     work: str
     #: Whether it may be executed more than once.
     idempotent: bool
-    #: The answer that a right execution gives; empty where it is not compared.
+    #: The response of a correct execution; empty if it is not compared.
     expected: str
-    #: How it ended.
-    ending: Ending = Ending.GAVE_UP
-    #: The answer that was told as whole.
+    outcome: Outcome = Outcome.GAVE_UP
+    #: The response that was reported as complete.
     answer: str = ""
     #: Result number of a refusal or failure.
     result: int = 0
--- a/packages/standins/fulmarward_standins/faults/tests/test_check.py
+++ b/packages/standins/fulmarward_standins/faults/tests/test_check.py
@@ -1,13 +1,13 @@
 import unittest
 
-from fulmarward_standins.faults import Ending, Told, check_told
+from fulmarward_standins.faults import Outcome, WorkRecord, check_records
 
 
-def _begin(work, request="r1", attempt=1):
+def _make_start_line(work, request="r1", attempt=1):
     return {"work": work, "request": request, "attempt": attempt}
 
 
-def _run(first, last, position=0, request="r1", attempt=1):
+def _make_ran_line(first, last, position=0, request="r1", attempt=1):
     return {
         "request": request,
         "attempt": attempt,
@@ -18,39 +18,55 @@
     }
 
 
-def _tell(ending, answer="", idempotent=False):
-    return Told(
+def _make_record(outcome, answer="", idempotent=False):
+    return WorkRecord(
         kind="x",
         work="w",
         idempotent=idempotent,
         expected="abc",
-        ending=ending,
+        outcome=outcome,
         answer=answer,
     )
 
 
-class CheckToldTest(unittest.TestCase):
-    def test_each_broken_promise_is_counted(self):
-        whole = _tell(Ending.WHOLE, "abc")
+class CheckRecordsTest(unittest.TestCase):
+    def test_each_violated_guarantee_is_counted(self):
+        whole = _make_record(Outcome.WHOLE, "abc")
         cases = [
-            ([whole], [_begin("w"), _run(0, 7), _run(8, 23)], (0, 0, 0, 0)),
-            ([whole], [_begin("w"), _begin("w", request="r2")], (1, 0, 0, 0)),
-            ([whole], [_begin("w"), _begin("w", attempt=2)], (1, 0, 0, 0)),
             (
-                [_tell(Ending.WHOLE, "abc", idempotent=True)],
-                [_begin("w"), _begin("w", attempt=2)],
+                [whole],
+                [_make_start_line("w"), _make_ran_line(0, 7), _make_ran_line(8, 23)],
                 (0, 0, 0, 0),
             ),
-            ([_tell(Ending.NOT_RUN)], [], (0, 0, 0, 0)),
-            ([_tell(Ending.NOT_RUN)], [_begin("w")], (0, 1, 0, 0)),
-            ([_tell(Ending.UNKNOWN)], [_begin("w")], (0, 0, 0, 0)),
-            ([_tell(Ending.WHOLE, "ab")], [_begin("w")], (0, 0, 1, 0)),
-            ([], [_run(0, 7), _run(0, 7)], (0, 0, 0, 8)),
-            ([], [_run(0, 7), _run(16, 23)], (0, 0, 0, 1)),
+            (
+                [whole],
+                [_make_start_line("w"), _make_start_line("w", request="r2")],
+                (1, 0, 0, 0),
+            ),
+            (
+                [whole],
+                [_make_start_line("w"), _make_start_line("w", attempt=2)],
+                (1, 0, 0, 0),
+            ),
+            (
+                [_make_record(Outcome.WHOLE, "abc", idempotent=True)],
+                [_make_start_line("w"), _make_start_line("w", attempt=2)],
+                (0, 0, 0, 0),
+            ),
+            ([_make_record(Outcome.NOT_RUN)], [], (0, 0, 0, 0)),
+            ([_make_record(Outcome.NOT_RUN)], [_make_start_line("w")], (0, 1, 0, 0)),
+            ([_make_record(Outcome.UNKNOWN)], [_make_start_line("w")], (0, 0, 0, 0)),
+            (
+                [_make_record(Outcome.WHOLE, "ab")],
+                [_make_start_line("w")],
+                (0, 0, 1, 0),
+            ),
+            ([], [_make_ran_line(0, 7), _make_ran_line(0, 7)], (0, 0, 0, 8)),
+            ([], [_make_ran_line(0, 7), _make_ran_line(16, 23)], (0, 0, 0, 1)),
         ]
-        for told, lines, expected in cases:
-            with self.subTest(told=told, lines=lines):
-                verdict = check_told(told, lines)
+        for records, lines, expected in cases:
+            with self.subTest(records=records, lines=lines):
+                verdict = check_records(records, lines)
                 found = (
                     verdict.run_twice,
                     verdict.wrongly_not_run,
--- a/packages/standins/fulmarward_standins/harness/__init__.py
+++ b/packages/standins/fulmarward_standins/harness/__init__.py
@@ -1,4 +1,4 @@
-"""Starting real processes on loopback for tests, the demo and the benches."""
+"""Runs real processes on loopback for tests, the demo and benchmarks."""
 
 from fulmarward_standins.harness._callers import (
     CallResult,
--- a/packages/standins/fulmarward_standins/harness/_callers.py
+++ b/packages/standins/fulmarward_standins/harness/_callers.py
@@ -1,4 +1,4 @@
-"""Calls as a caller makes them, and server-sent events as one reads them."""
+"""HTTP calls and server-sent events on the caller's side."""
 
 import json
 from collections.abc import AsyncIterator
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallResult:
-    """What came back; status 0 when nothing did."""
+    """Response to a call; status 0 if none arrived."""
 
     status: int
-    #: The JSON body, or the text of another kind.
+    #: The parsed JSON body, or the text of another content type.
     body: Any
     headers: dict[str, str]
 
@@ -22,16 +22,16 @@
 class SseEvent:
     """One server-sent event."""
 
-    #: `id:`, empty where there was none.
+    #: `id:`, or empty.
     id: str
-    #: `event:`, `message` where there was none.
+    #: `event:`, by default `message`.
     kind: str
     #: `data:`.
     data: str
 
     @property
     def text(self) -> str:
-        """The token's text in a completion's part, empty in other events."""
+        """The token's text in a completion chunk, empty in other events."""
         if self.kind != "message" or self.data == "[DONE]":
             return ""
         choices = json.loads(self.data).get("choices") or [{}]
@@ -48,7 +48,7 @@
     method: str = "",
     headers: dict[str, str] | None = None,
 ) -> CallResult:
-    """Call and return what came back, never raising for a lost connection."""
+    """Make a call; a lost connection gives status 0 instead of an exception."""
     method = method or ("GET" if body is None else "POST")
     sent = {"Authorization": f"Bearer {key}"} if key else {}
     try:
@@ -67,7 +67,7 @@
 
 
 async def read_stream(response: aiohttp.ClientResponse) -> AsyncIterator[SseEvent]:
-    """Yield the server-sent events of an answer until it ends or is cut."""
+    """Yield the server-sent events of a response until it ends or is cut."""
     fields: dict[str, str] = {}
     try:
         async for raw in response.content:
--- a/packages/standins/fulmarward_standins/harness/_fleet.py
+++ b/packages/standins/fulmarward_standins/harness/_fleet.py
@@ -1,4 +1,4 @@
-"""A platform, targets and instances, each a process of its own."""
+"""A platform, targets and instances, each in a separate process."""
 
 import asyncio
 import json
@@ -27,31 +27,31 @@
 
 PLATFORM_TOKEN = "platform-token"
 
-#: Lines of each log that are shown when a test fails.
+#: Last lines of each log that are printed when a test fails.
 LOG_LINES = 15
 
 
 @dataclass(kw_only=True)
 class FleetPlan:
-    """What to start."""
+    """The processes of a fleet and their settings."""
 
-    #: Instances; three in three data centres by default.
+    #: By default three, each in its own data centre.
     instances: list[InstancePlan] = field(
         default_factory=lambda: [
             InstancePlan(name=f"i{number}", data_centre=data_centre)
             for number, data_centre in enumerate(DATA_CENTRES, 1)
         ]
     )
-    #: Targets; two engines by default.
+    #: By default two engines.
     targets: list[TargetPlan] = field(
         default_factory=lambda: [
             TargetPlan(name="e1"),
             TargetPlan(name="e2", data_centre=DATA_CENTRES[1]),
         ]
     )
-    #: How late the platform's list is, in seconds.
+    #: Delay of the platform's instance list, in seconds.
     list_lag_s: float = 0.0
-    #: Whether the example declaration is applied and awaited.
+    #: Whether the example declaration is applied and awaited at the start.
     is_applied: bool = True
 
 
@@ -75,7 +75,7 @@
         return next(item for item in self.plan.targets if item.name == name)
 
     def get_url(self, instance: str, path: str) -> str:
-        """Return a URL on the callers' side of an instance."""
+        """Return a URL at the caller address of an instance."""
         return f"http://{self.find_instance(instance).caller_address}{path}"
 
     async def call(
@@ -108,18 +108,18 @@
         )
 
     async def control_target(self, target: str, **switches: object) -> None:
-        """Set switches of a target stand-in."""
+        """Set fault switches of a target stand-in."""
         address = self.find_target(target).address
         await call_json(self.session, f"http://{address}/control", switches)
 
     async def control_platform(self, **switches: object) -> None:
-        """Set switches of the platform stand-in."""
+        """Set fault switches of the platform stand-in."""
         await call_json(
             self.session, f"http://{self.platform_address}/control", switches
         )
 
     async def list_members(self, entries: list[dict]) -> None:
-        """Tell the platform stand-in what its scheduler knows."""
+        """Update the members that the platform stand-in lists."""
         await call_json(
             self.session,
             f"http://{self.platform_address}/control/members",
@@ -148,7 +148,7 @@
         return entries
 
     async def start_instance(self, name: str, settings: dict | None = None) -> Process:
-        """Start the process of an instance, again if it ran before."""
+        """Start or restart the process of an instance."""
         path = self.folder / f"{name}.json"
         settings = settings or self.make_settings(self.find_instance(name))
         path.write_text(json.dumps(settings))
@@ -174,7 +174,7 @@
         }
 
     async def start_target(self, name: str) -> Process:
-        """Start the process of a target, again if it ran before."""
+        """Start or restart the process of a target."""
         spec = make_spec(self.find_target(name))
         if spec.get("ledger_file"):
             spec["ledger_file"] = str(self.folder / spec["ledger_file"])
@@ -189,16 +189,16 @@
         return self.processes[name]
 
     async def is_ready(self, instance: str) -> bool:
-        """Return whether an instance serves."""
+        """Return whether an instance is ready."""
         result = await call_json(self.session, self.get_url(instance, "/ready"))
         return result.status == 200
 
     async def wait_ready(self, instance: str) -> None:
-        """Wait until an instance serves."""
+        """Wait until an instance is ready."""
         await wait_until(lambda: self.is_ready(instance), f"{instance} to be ready")
 
     async def wait_listening(self, address: str) -> None:
-        """Wait until something answers HTTP at an address."""
+        """Wait until an address responds to HTTP."""
 
         async def is_listening() -> bool:
             result = await call_json(self.session, f"http://{address}/ledger")
@@ -207,7 +207,7 @@
         await wait_until(is_listening, f"{address} to listen")
 
     async def knows_all(self, instance: str) -> bool:
-        """Return whether an instance believes all others alive."""
+        """Return whether an instance considers all others alive."""
         status = await self.call_operator(instance, "/status")
         if status.status != 200:
             return False
@@ -225,13 +225,13 @@
         return await self.call_operator(instance, "/apply", body)
 
     async def stop(self) -> None:
-        """End every process that was started, the instances without grace."""
+        """Stop every process; instances are killed."""
         names = {item.name for item in self.plan.instances}
-        ending = [
+        stops = [
             process.kill() if process.name in names else process.stop()
             for process in self.processes.values()
         ]
-        await asyncio.gather(*ending)
+        await asyncio.gather(*stops)
 
 
 def make_spec(target: TargetPlan) -> dict:
@@ -248,7 +248,7 @@
     return spec | target.stand_in
 
 
-def _give_addresses(plan: FleetPlan) -> str:
+def _assign_addresses(plan: FleetPlan) -> str:
     ports = iter(find_ports(1 + len(plan.targets) + 3 * len(plan.instances)))
     for target in plan.targets:
         target.address = f"127.0.0.1:{next(ports)}"
@@ -259,7 +259,7 @@
     return f"127.0.0.1:{next(ports)}"
 
 
-def _list_entries(plan: FleetPlan) -> list[dict]:
+def _make_member_entries(plan: FleetPlan) -> list[dict]:
     instances = [
         {
             "name": item.name,
@@ -301,7 +301,7 @@
     for target in plan.targets:
         await fleet.start_target(target.name)
     await fleet.wait_listening(fleet.platform_address)
-    await fleet.list_members(_list_entries(plan))
+    await fleet.list_members(_make_member_entries(plan))
     for instance in plan.instances:
         await fleet.start_instance(instance.name)
     for target in plan.targets:
@@ -323,7 +323,7 @@
 
 @asynccontextmanager
 async def start_fleet(plan: FleetPlan | None = None) -> AsyncIterator[Fleet]:
-    """Run a fleet inside an `async with`; every process is ended at its end."""
+    """Run a fleet within an `async with` block and stop every process at its end."""
     plan = plan or FleetPlan()
     with tempfile.TemporaryDirectory(prefix="fulmarward-") as folder:
         connector = aiohttp.TCPConnector(limit=0)
@@ -332,7 +332,7 @@
                 plan=plan,
                 folder=Path(folder),
                 session=session,
-                platform_address=_give_addresses(plan),
+                platform_address=_assign_addresses(plan),
             )
             _write_secrets(fleet.folder)
             try:
@@ -346,7 +346,7 @@
 
 
 def _print_logs(fleet: Fleet) -> None:
-    """Show the end of every process's log beside the failure that ended a test."""
+    """Print the end of every process's log next to the test's failure."""
     for process in fleet.processes.values():
         lines = process.log.read_text().splitlines()[-LOG_LINES:]
         text = "\n".join(lines)
@@ -354,5 +354,5 @@
 
 
 def describe_instance(plan: InstancePlan) -> dict:
-    """Return an instance's plan as JSON can hold it."""
+    """Return an instance's plan as a JSON object."""
     return asdict(plan)
--- a/packages/standins/fulmarward_standins/harness/_golden.py
+++ b/packages/standins/fulmarward_standins/harness/_golden.py
@@ -1,15 +1,15 @@
-"""Golden files of whole sessions: texts with times and ids made neutral."""
+"""Golden files of whole sessions, with placeholders for times and ids."""
 
 import os
 import re
 import unittest
 from pathlib import Path
 
-#: Set this variable to 1 to write golden files in place of checking them.
+#: Environment variable; 1 rewrites the golden files instead of checking them.
 WRITE_VARIABLE = "FULMARWARD_WRITE_GOLDEN"
 
-#: What is replaced, and by what. Every distinct match gets its own number.
-_NEUTRAL = (
+#: Placeholders and the patterns they replace. Each distinct match gets a number.
+_PLACEHOLDERS = (
     ("REQUEST", re.compile(r"\b[0-9a-f]{20}\b")),
     ("HASH", re.compile(r"\b[0-9a-f]{64}\b")),
     ("APPLY", re.compile(r"\b[0-9a-f]{32}\b")),
@@ -25,27 +25,27 @@
 
 
 def make_neutral(text: str) -> str:
-    """Return `text` with ids, addresses and times replaced by numbered words."""
-    for word, pattern in _NEUTRAL:
+    """Return `text` with ids, addresses and times replaced by placeholders."""
+    for placeholder, pattern in _PLACEHOLDERS:
         seen: dict[str, str] = {}
 
-        def name_match(
-            match: re.Match, seen: dict[str, str] = seen, word: str = word
+        def number_match(
+            match: re.Match, seen: dict[str, str] = seen, placeholder: str = placeholder
         ) -> str:
-            # How many different times a session sees depends on the machine.
-            if word == "TIME":
-                return word
-            return seen.setdefault(match.group(), f"{word}-{len(seen) + 1}")
+            # Times are not numbered: how many are distinct depends on the machine.
+            if placeholder == "TIME":
+                return placeholder
+            return seen.setdefault(match.group(), f"{placeholder}-{len(seen) + 1}")
 
-        text = pattern.sub(name_match, text)
+        text = pattern.sub(number_match, text)
     return text
 
 
 def check_golden(test: unittest.TestCase, path: Path, text: str) -> None:
-    """Fail `test` unless the neutral form of `text` is what stands in `path`."""
-    neutral = make_neutral(text)
+    """Fail `test` unless the normalized `text` equals the content of `path`."""
+    normalized = make_neutral(text)
     if os.environ.get(WRITE_VARIABLE) == "1":
         path.parent.mkdir(exist_ok=True)
-        path.write_text(neutral)
+        path.write_text(normalized)
     test.maxDiff = None
-    test.assertEqual(path.read_text(), neutral)
+    test.assertEqual(path.read_text(), normalized)
--- a/packages/standins/fulmarward_standins/harness/_ledger_checks.py
+++ b/packages/standins/fulmarward_standins/harness/_ledger_checks.py
@@ -1,20 +1,20 @@
-"""What the ledgers of engines must show, whatever failed."""
+"""Invariants of the engines' ledgers, which hold under every fault."""
 
 from collections import Counter, defaultdict
 from collections.abc import Mapping, Sequence
 
-#: Entries of one ledger, oldest first, as `GET /ledger` gives them.
+#: Entries of one ledger, oldest first, as returned by `GET /ledger`.
 Ledger = Sequence[Mapping[str, object]]
 
 
 def find_ledger_faults(ledgers: Mapping[str, Ledger], *, layers: int = 0) -> list[str]:
-    """Return what is wrong in the ledgers, by target; an empty list is a proof.
+    """Return the violated invariants; an empty list means that all hold.
 
-    Every (request, attempt, position, layer) ran once, and each range of layers ran
-    its positions one after the other. With `layers`, every position that ran the
-    model's last layer ran all of them; give it when no engine's ledger was lost. The
-    order of layers shows in the answer's text, which the stand-in's model derives
-    from every layer in order.
+    Every (request, attempt, position, layer) ran at most once, and each range of
+    layers ran its positions in sequence. With `layers`, every position that ran the
+    model's last layer ran all of them; pass it only if no engine's ledger was lost.
+    The order of layers needs no check here: the stand-in's model derives the
+    response's text from every layer in order.
     """
     ran = {
         target: [entry for entry in ledger if entry["event"] == "ran"]
@@ -22,7 +22,7 @@
     }
     return [
         *_find_repeats(ran),
-        *_find_disorder(ran),
+        *_find_skipped_positions(ran),
         *(_find_gaps(ran, layers) if layers else []),
     ]
 
@@ -37,7 +37,7 @@
     return [f"run {count} times: {key}" for key, count in counts.items() if count > 1]
 
 
-def _find_disorder(ran: Mapping[str, Ledger]) -> list[str]:
+def _find_skipped_positions(ran: Mapping[str, Ledger]) -> list[str]:
     faults = []
     for target, entries in ran.items():
         newest: dict[tuple, int] = {}
@@ -51,13 +51,13 @@
 
 
 def _find_gaps(ran: Mapping[str, Ledger], layers: int) -> list[str]:
-    held: dict[tuple, set[int]] = defaultdict(set)
+    layers_run: dict[tuple, set[int]] = defaultdict(set)
     for entries in ran.values():
         for entry in entries:
             key = (entry["request"], entry["attempt"], entry["position"])
-            held[key] |= set(range(entry["first_layer"], entry["last_layer"] + 1))
+            layers_run[key] |= set(range(entry["first_layer"], entry["last_layer"] + 1))
     return [
         f"ran without some layers: {key}"
-        for key, found in held.items()
+        for key, found in layers_run.items()
         if layers - 1 in found and len(found) < layers
     ]
--- a/packages/standins/fulmarward_standins/harness/_plans.py
+++ b/packages/standins/fulmarward_standins/harness/_plans.py
@@ -1,4 +1,4 @@
-"""What a fleet for tests consists of, and the declaration that fits it."""
+"""Plans of the instances and targets of a test fleet, and its declaration."""
 
 import hashlib
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 OPERATOR_TOKEN = "operator-token-1"
 PEER_SECRET = "peer-secret-1"
 
-#: The data centres of a fleet, as the brief names them.
+#: The data centres of a fleet, as in the specification.
 DATA_CENTRES = ("lx-alcantara", "lx-oriente", "lx-carnaxide")
 
 #: Layers of the model that the stand-in engines hold.
@@ -18,23 +18,21 @@
 class TargetPlan:
     """One target of a fleet."""
 
-    #: Its name.
     name: str
     #: `engine` or `service`.
     kind: str = "engine"
-    #: Its data centre.
     data_centre: str = DATA_CENTRES[0]
-    #: The model or service.
+    #: The model or service that it serves.
     serves: str = "sardine"
-    #: Layers held.
+    #: Range of layers held, the end exclusive.
     layers: tuple[int, int] = (0, MODEL_LAYERS)
-    #: Requests that it runs at once.
+    #: Requests that it runs concurrently.
     slots: int = 16
-    #: Whether it refuses old fencing numbers.
+    #: Whether it refuses orders with an old fencing number.
     checks_fencing: bool = True
-    #: More members of the stand-in's settings.
+    #: Further settings of the stand-in.
     stand_in: dict = field(default_factory=dict)
-    #: Its address, set when the fleet starts.
+    #: Set when the fleet starts.
     address: str = ""
 
 
@@ -42,11 +40,9 @@
 class InstancePlan:
     """One instance of a fleet."""
 
-    #: Its name.
     name: str
-    #: Its data centre.
     data_centre: str
-    #: Changes to the limits in its settings.
+    #: Limits in its settings that differ from the defaults.
     limits: dict = field(default_factory=dict)
     #: Addresses, set when the fleet starts.
     caller_address: str = ""
@@ -55,7 +51,7 @@
 
 
 def make_team_key(team: str) -> str:
-    """Return the key that a team has in every test."""
+    """Return the API key of a team, the same in every test."""
     return f"key-of-{team}"
 
 
--- a/packages/standins/fulmarward_standins/harness/_ports.py
+++ b/packages/standins/fulmarward_standins/harness/_ports.py
@@ -8,17 +8,17 @@
 from pathlib import Path
 from typing import TextIO
 
-#: Ports below those the system hands out by itself, so that a port found here is not
-#: taken by some client's connection before its process listens.
+#: Below the system's ephemeral ports, so that no client's connection takes a port
+#: between finding it here and listening on it.
 FIRST_PORT, END_PORT = 12_000, 32_000
 
-#: Ports in a block. A fleet of 60 instances takes 181.
+#: Ports per block. A fleet of 60 instances needs 181.
 BLOCK_PORTS = 500
 
 _GENERATOR = random.SystemRandom()
 
-#: The blocks that this process holds, with their open lock files.
-_HELD: dict[int, TextIO] = {}
+#: Open lock files of the blocks that this process has locked, by first port.
+_LOCKED_BLOCKS: dict[int, TextIO] = {}
 
 
 def _open_lock(first: int) -> TextIO:
@@ -27,12 +27,12 @@
     return (folder / str(first)).open("w")
 
 
-def _hold_block() -> int:
-    """Return the first port of a block that no other process holds.
+def _lock_block() -> int:
+    """Lock a block that no other process has locked; return its first port.
 
-    Guards against two fleets on one machine: a port that was found free is let go
-    before its process listens, and another fleet found it free too. One of the two
-    instances then never comes up. The lock ends with this process, however it ends.
+    Without the lock, two fleets on one machine can find the same port free, because
+    it is released before its process listens; one of the two instances then never
+    starts. The system releases the lock whenever this process ends.
     """
     blocks = list(range(FIRST_PORT, END_PORT, BLOCK_PORTS))
     _GENERATOR.shuffle(blocks)
@@ -43,41 +43,43 @@
         except OSError:
             lock.close()
             continue
-        _HELD[first] = lock
+        _LOCKED_BLOCKS[first] = lock
         return first
     raise RuntimeError(f"expected a free block of ports, found {len(blocks)} held")
 
 
-def _list_candidates() -> list[int]:
-    ports = [port for first in _HELD for port in range(first, first + BLOCK_PORTS)]
+def _list_block_ports() -> list[int]:
+    ports = [
+        port for first in _LOCKED_BLOCKS for port in range(first, first + BLOCK_PORTS)
+    ]
     _GENERATOR.shuffle(ports)
     return ports
 
 
-def _find_in_blocks(count: int) -> list[int]:
-    """Return up to `count` free ports of the held blocks."""
-    holders = []
+def _find_free_ports(count: int) -> list[int]:
+    """Return up to `count` free ports of the locked blocks."""
+    sockets = []
     try:
-        for port in _list_candidates():
-            holder = socket.socket()
+        for port in _list_block_ports():
+            probe = socket.socket()
             try:
-                holder.bind(("127.0.0.1", port))
+                probe.bind(("127.0.0.1", port))
             except OSError:
-                holder.close()
+                probe.close()
                 continue
-            holders.append(holder)
-            if len(holders) == count:
+            sockets.append(probe)
+            if len(sockets) == count:
                 break
-        return [holder.getsockname()[1] for holder in holders]
+        return [probe.getsockname()[1] for probe in sockets]
     finally:
-        for holder in holders:
-            holder.close()
+        for probe in sockets:
+            probe.close()
 
 
 def find_ports(count: int) -> list[int]:
-    """Return `count` different ports on which nothing listens now."""
+    """Return `count` distinct ports on which nothing listens now."""
     while True:
-        ports = _find_in_blocks(count)
+        ports = _find_free_ports(count)
         if len(ports) == count:
             return ports
-        _hold_block()
+        _lock_block()
--- a/packages/standins/fulmarward_standins/harness/_processes.py
+++ b/packages/standins/fulmarward_standins/harness/_processes.py
@@ -1,4 +1,4 @@
-"""Child processes: started, watched, and ended by their own id only."""
+"""Child processes, which are signalled by their own process id only."""
 
 import asyncio
 import contextlib
@@ -8,46 +8,45 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-#: Seconds after which a condition that tests wait for is given up as failed. It is far
-#: above what any of them takes, so that no verdict rests on the machine's speed.
-GIVE_UP_S = 30.0
+#: Timeout of conditions that tests wait for, in seconds. It is far above what any of
+#: them takes, so that no result depends on the machine's speed.
+WAIT_TIMEOUT_S = 30.0
 
-#: Seconds between two looks at a condition.
-LOOK_S = 0.02
+#: Seconds between two checks of a condition.
+POLL_INTERVAL_S = 0.02
 
 
 @dataclass(kw_only=True)
 class Process:
     """One child process."""
 
-    #: Name for people.
+    #: Display name.
     name: str
-    #: The child.
     child: asyncio.subprocess.Process
-    #: Where its log goes.
+    #: File that receives its output.
     log: Path
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal, if the process still runs.
 
-        One that has just ended may be gone before its return code is known here.
+        A process that has just ended may be gone before its return code is known.
         """
         if self.child.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.child.pid, number)
 
     async def stop(self) -> int:
-        """Ask it to end and wait; kill it only when it does not."""
+        """Terminate the process and wait; kill it after `WAIT_TIMEOUT_S`."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
         try:
-            async with asyncio.timeout(GIVE_UP_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 return await self.child.wait()
         except TimeoutError:
             return await self.kill()
 
     async def kill(self) -> int:
-        """End it at once and wait."""
+        """Kill the process and wait."""
         self.send(signal.SIGKILL)
         return await self.child.wait()
 
@@ -55,8 +54,9 @@
 async def start_process(name: str, command: list[str], folder: Path) -> Process:
     """Start a child whose output goes to `NAME.log` in `folder`.
 
-    It has a process group of its own. Guards against a shell above that ends: the
-    kernel then continues all stopped processes of the group that it leaves behind.
+    The child gets its own process group. When a parent shell ends, the kernel
+    continues all stopped processes of its orphaned group; a child frozen by a test
+    must not be among them.
     """
     log = folder / f"{name}.log"
     with log.open("ab") as output:
@@ -71,13 +71,13 @@
 
 
 async def wait_until(condition: Callable[[], Awaitable[object]], what: str) -> object:
-    """Wait for `condition` to give a true value and return that value."""
+    """Poll `condition` until it returns a true value and return that value."""
     try:
-        async with asyncio.timeout(GIVE_UP_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 value = await condition()
                 if value:
                     return value
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
     except TimeoutError as error:
-        raise AssertionError(f"expected {what}, waited {GIVE_UP_S} s") from error
+        raise AssertionError(f"expected {what}, waited {WAIT_TIMEOUT_S} s") from error
--- a/packages/standins/fulmarward_standins/harness/_streams.py
+++ b/packages/standins/fulmarward_standins/harness/_streams.py
@@ -1,4 +1,4 @@
-"""A streamed completion as a caller holds it, cuts it and comes back for it."""
+"""A streamed completion on the caller's side, which can be cut and resumed."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -17,30 +17,30 @@
 
     #: HTTP status.
     status: int
-    #: Id of the request.
+    #: Request id.
     request: str
-    #: The HTTP answer.
+    #: The HTTP response.
     response: aiohttp.ClientResponse
     #: Events read so far.
     events: list[SseEvent] = field(default_factory=list)
 
     @property
     def texts(self) -> list[str]:
-        """The tokens' texts read so far."""
+        """Texts of the tokens read so far."""
         return [event.text for event in self.events if event.text]
 
     @property
     def is_whole(self) -> bool:
-        """Whether the answer's explicit end came."""
+        """Whether the end marker `[DONE]` arrived."""
         return bool(self.events) and self.events[-1].data == "[DONE]"
 
     @property
     def last_event_id(self) -> str:
-        """The id that a caller sends to go on."""
+        """The event id that a caller sends to resume."""
         return next((event.id for event in reversed(self.events) if event.id), "")
 
     async def read(self, texts: int | None = None) -> None:
-        """Read until that many texts are there; without a number, to the end."""
+        """Read until `texts` token texts have arrived, by default to the end."""
         async for event in read_stream(self.response):
             self.events.append(event)
             if texts is not None and len(self.texts) >= texts:
@@ -58,7 +58,7 @@
     last_event_id: str = "",
     headers: dict[str, str] | None = None,
 ) -> AsyncIterator[CallerStream]:
-    """Open a streamed text completion; leaving the block cuts the connection."""
+    """Open a streamed text completion; leaving the block closes the connection."""
     sent = {"Authorization": f"Bearer {make_team_key(team)}"} | (headers or {})
     if last_event_id:
         sent["Last-Event-ID"] = last_event_id
--- a/packages/standins/fulmarward_standins/harness/_usage.py
+++ b/packages/standins/fulmarward_standins/harness/_usage.py
@@ -1,4 +1,4 @@
-"""What a process has used, read from the system's own accounts."""
+"""Resource usage of a process, read from `/proc`."""
 
 import os
 from dataclasses import dataclass
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Usage:
-    """Processor time and memory of one process."""
+    """CPU time and memory of one process."""
 
-    #: User and system time so far, in seconds.
+    #: User and system CPU time, in seconds.
     cpu_s: float
     #: Resident memory in bytes.
     resident_bytes: int
 
 
 def read_usage(pid: int) -> Usage:
-    """Return what the process `pid` has used so far."""
+    """Return the resource usage of the process `pid`."""
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     ticks = int(stat[11]) + int(stat[12])
--- a/packages/standins/fulmarward_standins/harness/nose_result.py
+++ b/packages/standins/fulmarward_standins/harness/nose_result.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin that keeps every test's outcome for the closing line."""
+"""A nose2 plugin that records every test's outcome for the final summary."""
 
 from dataclasses import dataclass, field
 
@@ -19,13 +19,13 @@
 
 
 class KeepOutcomes(events.Plugin):
-    """Sorts outcomes; an expected failure passes and an unexpected success fails."""
+    """Records outcomes; an expected failure passes, an unexpected success fails."""
 
     alwaysOn = True  # noqa: N815
     configSection = "keep-outcomes"  # noqa: N815
 
     def testOutcome(self, event: events.TestOutcomeEvent) -> None:  # noqa: N802
-        """Note one outcome; a passed subtest counts with its whole test."""
+        """Record one outcome; a passed subtest is covered by its test."""
         if event.outcome == "subtest":
             if event.exc_info is not None:
                 OUTCOMES.failed.append(event.test.id())
--- a/packages/standins/fulmarward_standins/harness/run_tests.py
+++ b/packages/standins/fulmarward_standins/harness/run_tests.py
@@ -1,7 +1,7 @@
-"""Run the tests and close with `N passed, N failed` from the real result.
+"""Run the tests and end with the line `N passed, N failed`.
 
-Exits non-zero when a test failed that KNOWN-RED.txt does not list, when a listed one
-passed, when one was skipped, and when no test ran at all.
+Exits non-zero if a test failed that KNOWN-RED.txt does not list, if a listed test
+passed, if a test was skipped, or if no test ran.
 """
 
 import gc
@@ -14,20 +14,20 @@
 
 from fulmarward_standins.harness.nose_result import OUTCOMES
 
-#: The root of the repository.
+#: Root of the repository.
 ROOT = Path(__file__).parents[4]
 
 
 def read_known_red(path: Path = ROOT / "KNOWN-RED.txt") -> dict[str, str]:
-    """Return the listed lines by test id; a line begins with the id."""
+    """Return the listed lines by test id, which each line begins with."""
     if not path.exists():
         return {}
     lines = [line for line in path.read_text().splitlines() if line.strip()]
     return {line.split()[0]: line for line in lines}
 
 
-def judge(known_red: dict[str, str]) -> list[str]:
-    """Return what speaks against passing."""
+def find_run_failures(known_red: dict[str, str]) -> list[str]:
+    """Return the reasons for which the run fails."""
     faults = [
         f"failed: {test}" for test in sorted(set(OUTCOMES.failed) - set(known_red))
     ]
@@ -42,18 +42,18 @@
     return faults
 
 
-def _exempt_heap() -> None:
-    """Exclude all present objects from garbage collections.
+def _freeze_heap() -> None:
+    """Exclude all existing objects from garbage collection.
 
-    Guards against pauses of 0.2 s: the process of the tests plays targets and callers
-    too, and what the tests before have left is examined again and again.
+    Collections paused the process for 0.2 s, because they traverse everything that
+    earlier tests left behind, while the process also runs targets and callers.
     """
     gc.collect()
     gc.freeze()
 
 
 def main() -> None:
-    """Run what the command line names, or everything."""
+    """Run the tests named on the command line, by default all."""
     os.chdir(ROOT)
     hypothesis.settings.register_profile(
         "same-every-run", derandomize=True, database=None, deadline=None
@@ -61,13 +61,13 @@
     hypothesis.settings.load_profile("same-every-run")
     nose2.discover(argv=["nose2", *sys.argv[1:]], exit=False)
     if not sys.argv[1:]:
-        _exempt_heap()
-        # The platform's adapter stands beside the packages.
+        _freeze_heap()
+        # The platform adapter is not part of `packages`.
         nose2.discover(argv=["nose2", "-s", "platform", "-t", "platform"], exit=False)
     known_red = read_known_red()
     for test in sorted(set(OUTCOMES.failed) & set(known_red)):
         print(f"KNOWN RED: {known_red[test]}")
-    faults = judge(known_red)
+    faults = find_run_failures(known_red)
     for fault in faults:
         print(fault)
     sys.stderr.flush()
--- a/packages/standins/fulmarward_standins/harness/tests/test_processes.py
+++ b/packages/standins/fulmarward_standins/harness/tests/test_processes.py
@@ -10,17 +10,17 @@
 
 
 class SendTest(unittest.IsolatedAsyncioTestCase):
-    async def test_signal_to_a_process_that_has_just_ended_is_none(self):
-        """Guards against a soak that ends with an error of its own harness."""
+    async def test_signal_to_a_process_that_has_just_ended_is_ignored(self):
+        """Guards against soak tests that fail with an error of the harness itself."""
         with tempfile.TemporaryDirectory() as folder:
             ended = await start_process("p", [sys.executable, "-c", ""], Path(folder))
             await ended.child.wait()
-            # Its return code is not known yet.
+            # The return code is not known yet.
             child = SimpleNamespace(pid=ended.child.pid, returncode=None)
             Process(name="p", child=child, log=ended.log).send(signal.SIGKILL)
 
-    async def test_child_has_a_process_group_of_its_own(self):
-        """Guards against a stopped child that the kernel continues unasked."""
+    async def test_child_has_its_own_process_group(self):
+        """Guards against the kernel continuing a stopped child of an orphaned group."""
         with tempfile.TemporaryDirectory() as folder:
             command = [sys.executable, "-c", "import time; time.sleep(60)"]
             process = await start_process("p", command, Path(folder))
--- a/packages/standins/fulmarward_standins/harness/tests/test_purity.py
+++ b/packages/standins/fulmarward_standins/harness/tests/test_purity.py
@@ -4,8 +4,8 @@
 
 _PACKAGES = Path(__file__).parents[4]
 
-#: Modules that would let a decision read a clock, a socket or a log.
-_IMPURE = {
+#: Modules that decision code must not import: clocks, I/O, logging, randomness.
+_IO_MODULES = {
     "asyncio",
     "socket",
     "time",
@@ -27,7 +27,7 @@
             yield node.module.split(".")[0]
 
 
-def _list_decisions():
+def _list_decision_modules():
     return [
         path
         for path in sorted(_PACKAGES.rglob("*.py"))
@@ -38,11 +38,11 @@
 
 class PurityTest(unittest.TestCase):
     def test_decisions_import_no_io_clock_or_log(self):
-        paths = _list_decisions()
+        paths = _list_decision_modules()
         self.assertGreater(len(paths), 3)
         for path in paths:
             with self.subTest(path=str(path.relative_to(_PACKAGES))):
-                self.assertEqual(_IMPURE & set(_list_imports(path)), set())
+                self.assertEqual(_IO_MODULES & set(_list_imports(path)), set())
 
     def test_product_never_imports_the_stand_ins(self):
         for package in ("core", "instance", "client"):
--- a/packages/standins/fulmarward_standins/platform/__init__.py
+++ b/packages/standins/fulmarward_standins/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: table service, object store, list of instances."""
+"""Stand-in for the platform: tables, object store and instance list."""
 
 from fulmarward_standins.platform._app import PlatformSpec, make_platform_app
 
--- a/packages/standins/fulmarward_standins/platform/_app.py
+++ b/packages/standins/fulmarward_standins/platform/_app.py
@@ -1,10 +1,10 @@
 """The platform's HTTP protocol.
 
-`POST /tables` runs a transaction: `conditions` name rows and the version that each
-must have (0: absent), `writes` give new values (`null` deletes). All or nothing.
+`POST /tables` runs an atomic transaction: `conditions` lists rows with the version
+that each must have (0: absent), `writes` sets new values (`null` deletes).
 `GET /tables/TABLE/KEY` reads a row; `GET /tables/TABLE?prefix=P` lists rows.
 `PUT` and `GET /objects/KEY` store and fetch bytes.
-`GET /instances` is the list of live and leaving instances and targets, which lags.
+`GET /instances` lists live and leaving instances and targets, with a delay.
 """
 
 import asyncio
@@ -13,21 +13,21 @@
 
 from aiohttp import web
 
-from fulmarward_standins._faults import SWITCHES, change_switches, show_faults
+from fulmarward_standins._faults import SWITCHES, change_switches, inject_faults
 
-#: Largest object taken, in bytes.
-MOST_OBJECT_BYTES = 16 * 1024 * 1024
+#: Largest object accepted, in bytes.
+MAX_OBJECT_BYTES = 16 * 1024 * 1024
 
 
 @dataclass(kw_only=True)
 class PlatformSpec:
-    """How the stand-in starts."""
+    """Settings of a platform stand-in."""
 
-    #: Name for people.
+    #: Display name.
     name: str = "platform"
-    #: How late the list of instances is, in seconds.
+    #: Delay of the instance list, in seconds.
     list_lag_s: float = 0.0
-    #: The token that callers of the platform must show.
+    #: Bearer token required from callers.
     token: str = "platform-token"
 
 
@@ -36,7 +36,7 @@
     rows: dict[tuple[str, str], tuple[int, Any]]
     objects: dict[str, bytes]
     members: dict[str, dict[str, Any]]
-    shown: dict[str, dict[str, Any]]
+    published: dict[str, dict[str, Any]]
     reads: int = 0
     writes: int = 0
 
@@ -113,11 +113,11 @@
 async def _list_instances(request: web.Request) -> web.Response:
     store = request.app[_STORE]
     store.reads += 1
-    return web.json_response({"instances": list(store.shown.values())})
+    return web.json_response({"instances": list(store.published.values())})
 
 
 async def _change_members(request: web.Request) -> web.Response:
-    """Take what the platform's own scheduler would know; shown after the lag.
+    """Update the scheduler's members, which are published after `list_lag_s`.
 
     Each item is an object with `name`, `kind` (`instance` or `target`),
     `state` (`live`, `leaving` or `gone`), `data_centre`, and for instances
@@ -131,13 +131,13 @@
             store.members[member["name"]] = member
     members = dict(store.members)
 
-    def show() -> None:
-        store.shown = members
+    def publish() -> None:
+        store.published = members
 
     if spec.list_lag_s:
-        asyncio.get_running_loop().call_later(spec.list_lag_s, show)
+        asyncio.get_running_loop().call_later(spec.list_lag_s, publish)
     else:
-        show()
+        publish()
     return web.json_response({"members": len(members)})
 
 
@@ -158,11 +158,11 @@
 def make_platform_app(spec: PlatformSpec) -> web.Application:
     """Return the platform's web application."""
     app = web.Application(
-        middlewares=[show_faults, _check_token], client_max_size=MOST_OBJECT_BYTES
+        middlewares=[inject_faults, _check_token], client_max_size=MAX_OBJECT_BYTES
     )
     app[_SPEC] = spec
     app[SWITCHES] = {}
-    app[_STORE] = _Store(rows={}, objects={}, members={}, shown={})
+    app[_STORE] = _Store(rows={}, objects={}, members={}, published={})
     app.add_routes(
         [
             web.post("/tables", _transact),
--- a/packages/standins/fulmarward_standins/service/__init__.py
+++ b/packages/standins/fulmarward_standins/service/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service with calls that may not be repeated."""
+"""Stand-in for a plain service with non-idempotent calls."""
 
 from fulmarward_standins.service._app import ServiceSpec, make_service_app
 
--- a/packages/standins/fulmarward_standins/service/_app.py
+++ b/packages/standins/fulmarward_standins/service/_app.py
@@ -1,6 +1,6 @@
-"""A plain service: it executes whatever is called and writes that in its ledger.
+"""A plain service that executes every call and records it in its ledger.
 
-The headers `X-Request-Id`, `X-Attempt` and `X-Team` name the execution.
+The headers `X-Request-Id`, `X-Attempt` and `X-Team` identify the execution.
 """
 
 import asyncio
@@ -8,26 +8,26 @@
 
 from aiohttp import web
 
-from fulmarward_standins._faults import SWITCHES, change_switches, show_faults
+from fulmarward_standins._faults import SWITCHES, change_switches, inject_faults
 from fulmarward_standins._ledger import LEDGER, Ledger, LedgerEntry, show_ledger
 
 
 @dataclass(kw_only=True)
 class ServiceSpec:
-    """How the stand-in starts."""
+    """Settings of a service stand-in."""
 
-    #: Name for people.
+    #: Display name.
     name: str
-    #: How long a call takes, in milliseconds.
+    #: Duration of a call, in milliseconds.
     call_ms: float = 5.0
-    #: File to which the ledger is also written; empty for none.
+    #: File to which the ledger is also written, or empty.
     ledger_file: str = ""
 
 
 _SPEC: web.AppKey[ServiceSpec] = web.AppKey("spec", ServiceSpec)
 
 
-def _note(request: web.Request, event: str) -> None:
+def _record(request: web.Request, event: str) -> None:
     request.app[LEDGER].append(
         LedgerEntry(
             request=request.headers.get("X-Request-Id", ""),
@@ -42,7 +42,7 @@
 
 
 async def _execute(request: web.Request) -> web.Response:
-    """Run a call; the switch `call_ms` changes how long it takes."""
+    """Execute a call; the switch `call_ms` overrides its duration."""
     switches = request.app[SWITCHES]
     body = await request.text()
     if switches.get("refuse"):
@@ -51,12 +51,12 @@
         )
     request_id = request.headers.get("X-Request-Id", "")
     attempt = int(request.headers.get("X-Attempt", "0"))
-    request.app[LEDGER].note_work(request_id, attempt, body)
-    _note(request, "began")
+    request.app[LEDGER].record_work(request_id, attempt, body)
+    _record(request, "began")
     call_ms = switches.get("call_ms", request.app[_SPEC].call_ms)
-    # A service runs a call to its end even when its caller has gone.
+    # A service completes a call even after its caller has disconnected.
     await asyncio.shield(asyncio.sleep(call_ms / 1000))
-    _note(request, "ended")
+    _record(request, "ended")
     if switches.get("fail"):
         return web.json_response({"error": "failed"}, status=500)
     answer = {
@@ -71,7 +71,7 @@
 
 def make_service_app(spec: ServiceSpec) -> web.Application:
     """Return the service's web application."""
-    app = web.Application(middlewares=[show_faults], client_max_size=8 * 1024 * 1024)
+    app = web.Application(middlewares=[inject_faults], client_max_size=8 * 1024 * 1024)
     app[_SPEC] = spec
     app[SWITCHES] = {}
     app[LEDGER] = Ledger(spec.ledger_file)
