--- a/packages/client/fulmarctl/_commands.py
+++ b/packages/client/fulmarctl/_commands.py
@@ -54,7 +54,7 @@
 
     @defer
     def validate(self, file: str) -> None:
-        """Check the declaration in FILE and name every fault; needs no instance."""
+        """Check the declaration in FILE and print every error; needs no instance."""
         value = _read_file(file)
         parsed = parse_declaration(value)
         if isinstance(parsed, tuple):
@@ -66,11 +66,11 @@
 
     @defer
     def beliefs(self, address: str) -> None:
-        """Print what the routing instance at ADDRESS believes.
+        """Show the state of the fleet as the routing instance at ADDRESS knows it.
 
-        ADDRESS is its metrics address, `IP:PORT`. It tells the configuration's
+        ADDRESS is its metrics address, `IP:PORT`. The state has the configuration's
         version and age, the targets with the layers that they hold, the layers that
-        nobody holds, who holds the lease, and since when the store is out of reach.
+        no target holds, the lease holder, and since when the store is unreachable.
         Needs no settings file.
         """
         fleet = Fleet(addresses=(address,), token="")
@@ -83,9 +83,9 @@
     ) -> None:
         """Apply the declaration in FILE as a whole and wait until it is in force.
 
-        BASE_EPOCH is the epoch that FILE was made from; by default the one in force
-        now. If another file was applied since, nothing is changed and the winner is
-        named. WAIT_S is how long to wait for every instance to confirm; 0 does not.
+        BASE_EPOCH is the epoch that FILE is based on, by default the one in force. If
+        another file was applied since, nothing is changed and its author is named.
+        WAIT_S is how long to wait for every instance to confirm; 0 does not wait.
         """
         fleet = load_fleet(self._path)
         value = _read_file(file)
@@ -93,7 +93,7 @@
 
     @defer
     def rollback(self, epoch: int, wait_s: float = 10.0) -> None:
-        """Apply what was in force as EPOCH once more, as a new epoch."""
+        """Apply the declaration of EPOCH again, as a new epoch."""
         fleet = load_fleet(self._path)
         base_epoch = _call(fleet, "/status").body["head"]["epoch"]
         earlier = _call(fleet, f"/declaration?epoch={epoch}").body
@@ -137,7 +137,7 @@
 
     @defer
     def diff(self, file: str) -> None:
-        """Show what FILE would change in the declaration in force."""
+        """Show the changes that FILE would make to the declaration in force."""
         value = _read_file(file)
         current = _call(load_fleet(self._path), "/declaration").body
         changes = _list_changes(current["declaration"] or {}, value, "")
@@ -167,19 +167,19 @@
 
     @defer
     def targets(self) -> None:
-        """Show the targets as one instance sees them."""
+        """Show the targets in the view of one instance."""
         body = _call(load_fleet(self._path), "/targets").body
         print_reply(body, as_json=self._as_json)
 
     @defer
     def placement(self) -> None:
-        """Show who places each model's targets, and where rollouts stand and why."""
+        """Show who places each model, and each rollout's state and reason."""
         body = _call(load_fleet(self._path), "/placement").body
         print_reply(body, as_json=self._as_json)
 
     @defer
     def trace(self, request: str) -> None:
-        """Show the decisions of one late request, by its X-Request-Id."""
+        """Show the decisions for one recent request, by its X-Request-Id."""
         fleet = load_fleet(self._path)
         replies = call_every_instance(fleet, f"/trace/{request}")
         found = {
@@ -194,21 +194,21 @@
 
     @defer
     def drain_instance(self, address: str) -> None:
-        """Stop the instance with operator address ADDRESS after its open requests.
+        """Stop the instance at operator address ADDRESS after its open requests.
 
-        It leaves the discovery answers, takes no new work, ends its streams, exits.
+        It is removed from discovery, accepts no new work, ends its streams and exits.
         """
         fleet = replace(load_fleet(self._path), addresses=(address,))
         print_reply(_call(fleet, "/drain", {}).body, as_json=self._as_json)
 
     @defer
     def drain_target(self, name: str) -> None:
-        """Send no new work to the target NAME; what runs on it goes on to its end."""
+        """Send no new work to the target NAME; its running requests continue."""
         self._change_drain(name, drained=True)
 
     @defer
     def undrain_target(self, name: str) -> None:
-        """Take the drain of the target NAME back."""
+        """Send new work to the drained target NAME again."""
         self._change_drain(name, drained=False)
 
     def _change_drain(self, name: str, *, drained: bool) -> None:
@@ -218,7 +218,7 @@
 
     @defer
     def declaration(self) -> None:
-        """Print the declaration in force, fit to be changed and applied again."""
+        """Print the declaration in force as JSON, which `apply` accepts."""
         body = _call(load_fleet(self._path), "/declaration").body
         json.dump(body["declaration"], sys.stdout, indent=2)
         print()
--- a/packages/standins/fulmarward_standins/demo.py
+++ b/packages/standins/fulmarward_standins/demo.py
@@ -100,7 +100,7 @@
     result = await fleet.call("i1", "/discovery")
     addresses = result.body["addresses"]
     return Row(
-        what="caller asks for addresses",
+        what="discovery of instance addresses",
         found=f"{len(addresses)} addresses",
         is_right=len(addresses) == 3,
     )
@@ -232,7 +232,7 @@
     row = await _apply_example(fleet)
     _print_row(row)
     _write_state(fleet)
-    print(f"running; {STATE_PATH} tells what; interrupt to end", flush=True)
+    print(f"running; {STATE_PATH} lists the processes; interrupt to stop", flush=True)
     await asyncio.Event().wait()
     return row.is_right
 
--- a/packages/standins/fulmarward_standins/engine/__init__.py
+++ b/packages/standins/fulmarward_standins/engine/__init__.py
@@ -3,10 +3,10 @@
 from fulmarward_standins.engine._app import make_engine_app
 from fulmarward_standins.engine._model import (
     answer_tokens,
+    choose_word,
     count_answer_tokens,
-    make_word,
+    hash_position,
     run_layers,
-    start_position,
 )
 from fulmarward_standins.engine._spec import EngineSpec
 
@@ -15,7 +15,7 @@
     "answer_tokens",
     "count_answer_tokens",
     "make_engine_app",
-    "make_word",
+    "choose_word",
     "run_layers",
-    "start_position",
+    "hash_position",
 ]
--- a/packages/standins/fulmarward_standins/engine/_batch.py
+++ b/packages/standins/fulmarward_standins/engine/_batch.py
@@ -7,10 +7,10 @@
 from fulmarward_standins._ledger import LedgerEntry
 from fulmarward_standins.engine._cache import PrefixCache
 from fulmarward_standins.engine._model import (
+    choose_word,
     count_answer_tokens,
-    make_word,
+    hash_position,
     run_layers,
-    start_position,
 )
 from fulmarward_standins.engine._spec import EngineSpec
 
@@ -132,10 +132,10 @@
             if self.switches.get("fail_at_token") == position:
                 self._end(stream, "failed")
                 return
-            value = start_position(stream.prompt, position)
+            value = hash_position(stream.prompt, position)
             last = run_layers(value, 0, self.spec.model_layers)
             self.record(stream, "ran", position)
-            stream.tokens.append(make_word(last))
+            stream.tokens.append(choose_word(last))
             stream.notify_readers()
         is_cut = len(stream.tokens) >= stream.max_tokens
         self._end(stream, "length" if is_cut else "stop")
--- a/packages/standins/fulmarward_standins/engine/_model.py
+++ b/packages/standins/fulmarward_standins/engine/_model.py
@@ -20,7 +20,7 @@
 _MIN_TOKENS = 8
 
 
-def start_position(prompt: str, position: int) -> int:
+def hash_position(prompt: str, position: int) -> int:
     """Return the input of layer 0 for the token at `position`."""
     return xxhash.xxh64_intdigest(f"{position}:{prompt}".encode())
 
@@ -32,7 +32,7 @@
     return value
 
 
-def make_word(value: int) -> str:
+def choose_word(value: int) -> str:
     """Return the token text for the output of the last layer."""
     return _WORDS[value % len(_WORDS)] + " "
 
@@ -49,6 +49,6 @@
 def answer_tokens(prompt: str, max_tokens: int, layers: int) -> list[str]:
     """Return all tokens of a correct response."""
     return [
-        make_word(run_layers(start_position(prompt, position), 0, layers))
+        choose_word(run_layers(hash_position(prompt, position), 0, layers))
         for position in range(count_answer_tokens(prompt, max_tokens))
     ]
--- a/packages/standins/fulmarward_standins/engine/_steps.py
+++ b/packages/standins/fulmarward_standins/engine/_steps.py
@@ -4,10 +4,10 @@
 
 from fulmarward_standins._ledger import LedgerEntry
 from fulmarward_standins.engine._model import (
+    choose_word,
     count_answer_tokens,
-    make_word,
+    hash_position,
     run_layers,
-    start_position,
 )
 
 #: Most caches kept; the oldest are dropped first.
@@ -80,7 +80,7 @@
     if step["position"] > expected or end != cache.end_layer:
         return StepRefusal(error="out_of_order", expected=expected)
     is_first = first == 0
-    value = start_position(cache.prompt, expected) if is_first else step["input"]
+    value = hash_position(cache.prompt, expected) if is_first else step["input"]
     cache.outputs.append(run_layers(value, first, end))
     state.ledger.append(
         LedgerEntry(
@@ -125,7 +125,7 @@
     if cache.end_layer != state.model_layers:
         return {}
     tokens = count_answer_tokens(cache.prompt, cache.most)
-    text = make_word(cache.outputs[position]) if position < tokens else ""
+    text = choose_word(cache.outputs[position]) if position < tokens else ""
     if position + 1 < tokens:
         return {"text": text, "end": ""}
     return {"text": text, "end": "length" if tokens >= cache.most else "stop"}
--- a/packages/standins/fulmarward_standins/faults/__main__.py
+++ b/packages/standins/fulmarward_standins/faults/__main__.py
@@ -117,8 +117,10 @@
     for outcome, count in sorted(verdict.outcomes.items()):
         print(f"  {outcome}: {count}")
     print(f"run twice (must be 0): {verdict.run_twice}")
-    print(f'wrongly told "not run" (must be 0): {verdict.wrongly_not_run}')
-    print(f"wrong or cut answers told whole (must be 0): {verdict.wrong_answers}")
+    print(f"wrongly reported as not run (must be 0): {verdict.wrongly_not_run}")
+    print(
+        f"wrong or cut responses reported complete (must be 0): {verdict.wrong_answers}"
+    )
     print(f"layers run twice or out of order (must be 0): {verdict.wrong_layers}")
     for detail in verdict.details:
         print(detail)
--- a/packages/standins/fulmarward_standins/harness/__init__.py
+++ b/packages/standins/fulmarward_standins/harness/__init__.py
@@ -7,7 +7,7 @@
     read_stream,
 )
 from fulmarward_standins.harness._fleet import Fleet, FleetPlan, start_fleet
-from fulmarward_standins.harness._golden import check_golden, make_neutral
+from fulmarward_standins.harness._golden import check_golden, normalize_text
 from fulmarward_standins.harness._ledger_checks import find_ledger_faults
 from fulmarward_standins.harness._plans import (
     OPERATOR_TOKEN,
@@ -39,7 +39,7 @@
     "find_ledger_faults",
     "find_ports",
     "make_declaration",
-    "make_neutral",
+    "normalize_text",
     "make_team_key",
     "open_stream",
     "read_stream",
--- a/packages/standins/fulmarward_standins/harness/_fleet.py
+++ b/packages/standins/fulmarward_standins/harness/_fleet.py
@@ -206,7 +206,7 @@
 
         await wait_until(is_listening, f"{address} to listen")
 
-    async def knows_all(self, instance: str) -> bool:
+    async def considers_all_alive(self, instance: str) -> bool:
         """Return whether an instance considers all others alive."""
         status = await self.call_operator(instance, "/status")
         if status.status != 200:
@@ -316,7 +316,7 @@
     for instance in plan.instances:
         await fleet.wait_ready(instance.name)
         await wait_until(
-            lambda name=instance.name: fleet.knows_all(name),
+            lambda name=instance.name: fleet.considers_all_alive(name),
             f"{instance.name} to know all instances",
         )
 
--- a/packages/standins/fulmarward_standins/harness/_golden.py
+++ b/packages/standins/fulmarward_standins/harness/_golden.py
@@ -24,7 +24,7 @@
 )
 
 
-def make_neutral(text: str) -> str:
+def normalize_text(text: str) -> str:
     """Return `text` with ids, addresses and times replaced by placeholders."""
     for placeholder, pattern in _PLACEHOLDERS:
         seen: dict[str, str] = {}
@@ -43,7 +43,7 @@
 
 def check_golden(test: unittest.TestCase, path: Path, text: str) -> None:
     """Fail `test` unless the normalized `text` equals the content of `path`."""
-    normalized = make_neutral(text)
+    normalized = normalize_text(text)
     if os.environ.get(WRITE_VARIABLE) == "1":
         path.parent.mkdir(exist_ok=True)
         path.write_text(normalized)
--- a/packages/standins/fulmarward_standins/harness/nose_result.py
+++ b/packages/standins/fulmarward_standins/harness/nose_result.py
@@ -18,7 +18,7 @@
 OUTCOMES = Outcomes()
 
 
-class KeepOutcomes(events.Plugin):
+class RecordOutcomes(events.Plugin):
     """Records outcomes; an expected failure passes, an unexpected success fails."""
 
     alwaysOn = True  # noqa: N815
