--- a/packages/standins/fulmarward_standins/bench/policy.py
+++ b/packages/standins/fulmarward_standins/bench/policy.py
@@ -1,7 +1,7 @@
-"""Ours beside other policies in every scenario, on the same seeds.
+"""Comparison of all routing policies in all scenarios, with the same seeds.
 
-Virtual time: the figures do not depend on the machine. `of_bound` is the work of
-useful answers in time as a share of the lesser of demand and capacity.
+Runs use virtual time, so the results do not depend on the machine. `of_bound` is the
+work of answers completed in time, as a share of the smaller of demand and capacity.
 """
 
 from fulmarward_standins.demand import (
@@ -17,7 +17,7 @@
     rows = []
     for scenario in SCENARIOS:
         for policy in POLICIES:
-            tally = run_scenario(scenario, policy=policy, seed=seed)
+            record = run_scenario(scenario, policy=policy, seed=seed)
             row = {"scenario": scenario.name, "policy": policy}
-            rows.append(row | measure_run(scenario, tally))
+            rows.append(row | measure_run(scenario, record))
     return rows
--- a/packages/standins/fulmarward_standins/demand/_engines.py
+++ b/packages/standins/fulmarward_standins/demand/_engines.py
@@ -1,77 +1,80 @@
-"""An engine in virtual time: slots, a queue by urgency, a cache of prefixes."""
+"""A simulated engine: slots, a queue ordered by urgency, and a prefix cache."""
 
 from collections import OrderedDict, deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from fulmarward_standins.demand._types import Call, Scenario
-from fulmarward_standins.demand._world import World
+from fulmarward_standins.demand._world import Simulation
 
-#: Streams that may wait in an engine; more are refused.
-MOST_WAITING = 64
+#: Maximum queue length of an engine; further streams are refused.
+MAX_WAITING = 64
 
-#: Seconds after which an engine that fails fast gives up a stream.
+#: Seconds after which a failing engine aborts a stream.
 FAIL_FAST_S = 0.005
 
 
 @dataclass(kw_only=True, eq=False)
 class Stream:
-    """A call on an engine."""
+    """A call that is queued or running on an engine."""
 
     call: Call
-    #: Told `first`, then `whole` or `failed`.
-    tell: Callable[[str], None]
-    #: Whether nobody waits for it any more.
+    #: Called with `first` at the first token, then with `whole` or `failed`.
+    on_event: Callable[[str], None]
+    #: Whether the stream has ended or was cancelled.
     is_over: bool = False
 
 
 @dataclass(kw_only=True)
 class Engine:
-    """The state of one engine."""
+    """State of an engine."""
 
     name: str
     data_centre: str
     scenario: Scenario
-    #: Factor on its token time, and what else can be wrong with it.
-    slow: float = 1.0
+    #: Factor on the time per output token, and flags of other faults.
+    slowdown: float = 1.0
     is_failing: bool = False
     is_dead: bool = False
-    is_lying: bool = False
+    reports_no_load: bool = False
     waiting: list[Stream] = field(default_factory=list)
     running: list[Stream] = field(default_factory=list)
     held: OrderedDict[int, None] = field(default_factory=OrderedDict)
-    #: Loads seen each tenth of a second.
+    #: Time and running and waiting streams, sampled every 0.1 s for 6 s.
     loads: deque = field(default_factory=lambda: deque(maxlen=60))
-    #: Told each change of the cache: the prefixes held now.
-    tell_cache: Callable[[str, frozenset[str]], None] = lambda name, held: None
+    #: Called with the cached prefixes after each change.
+    on_cache_change: Callable[[str, frozenset[str]], None] = lambda name, held: None
 
 
-def start_stream(world: World, engine: Engine, stream: Stream) -> bool:
-    """Take a stream in; return whether the engine did."""
-    if engine.is_dead or len(engine.waiting) >= MOST_WAITING:
+def start_stream(simulation: Simulation, engine: Engine, stream: Stream) -> bool:
+    """Queue a stream; return whether the engine accepted it."""
+    if engine.is_dead or len(engine.waiting) >= MAX_WAITING:
         return False
     if engine.is_failing:
-        world.at(world.now + FAIL_FAST_S, lambda: _end(world, engine, stream, "failed"))
+        simulation.schedule(
+            simulation.now + FAIL_FAST_S,
+            lambda: _end_stream(simulation, engine, stream, "failed"),
+        )
         return True
     engine.waiting.append(stream)
     engine.waiting.sort(key=lambda item: item.call.kind.urgency)
-    _fill_slots(world, engine)
+    _fill_slots(simulation, engine)
     return True
 
 
-def cancel_stream(world: World, engine: Engine, stream: Stream) -> None:
-    """Free the place of a stream that nobody waits for."""
+def cancel_stream(simulation: Simulation, engine: Engine, stream: Stream) -> None:
+    """Cancel a stream and free its slot."""
     stream.is_over = True
-    _leave(world, engine, stream)
+    _release_slot(simulation, engine, stream)
 
 
-def fail_all(world: World, engine: Engine) -> None:
-    """End every stream of an engine that died."""
+def fail_all(simulation: Simulation, engine: Engine) -> None:
+    """Fail all streams of an engine."""
     for stream in [*engine.running, *engine.waiting]:
-        _end(world, engine, stream, "failed")
+        _end_stream(simulation, engine, stream, "failed")
 
 
-def _fill_slots(world: World, engine: Engine) -> None:
+def _fill_slots(simulation: Simulation, engine: Engine) -> None:
     scenario = engine.scenario
     while engine.waiting and len(engine.running) < scenario.slots:
         stream = engine.waiting.pop(0)
@@ -79,14 +82,16 @@
         call = stream.call
         call.had_prefix = _use_prefix(engine, call)
         saved = scenario.prefix_tokens if call.had_prefix else 0
-        token_s = scenario.token_s * engine.slow
+        token_s = scenario.token_s * engine.slowdown
         call.token_s = token_s
         first_s = max(0, call.prompt - saved) * scenario.prefill_s + token_s
         whole_s = first_s + (call.output - 1) * token_s
-        world.at(world.now + first_s, lambda stream=stream: _tell_first(stream))
-        world.at(
-            world.now + whole_s,
-            lambda stream=stream: _end(world, engine, stream, "whole"),
+        simulation.schedule(
+            simulation.now + first_s, lambda stream=stream: _report_first_token(stream)
+        )
+        simulation.schedule(
+            simulation.now + whole_s,
+            lambda stream=stream: _end_stream(simulation, engine, stream, "whole"),
         )
 
 
@@ -99,27 +104,29 @@
     if len(engine.held) > engine.scenario.cache_entries:
         engine.held.popitem(last=False)
     if not is_held:
-        engine.tell_cache(engine.name, frozenset(map(str, engine.held)))
+        engine.on_cache_change(engine.name, frozenset(map(str, engine.held)))
     return is_held
 
 
-def _tell_first(stream: Stream) -> None:
+def _report_first_token(stream: Stream) -> None:
     if not stream.is_over:
-        stream.tell("first")
+        stream.on_event("first")
 
 
-def _end(world: World, engine: Engine, stream: Stream, how: str) -> None:
+def _end_stream(
+    simulation: Simulation, engine: Engine, stream: Stream, how: str
+) -> None:
     if stream.is_over:
         return
     stream.is_over = True
-    _leave(world, engine, stream)
-    stream.tell(how)
+    _release_slot(simulation, engine, stream)
+    stream.on_event(how)
 
 
-def _leave(world: World, engine: Engine, stream: Stream) -> None:
+def _release_slot(simulation: Simulation, engine: Engine, stream: Stream) -> None:
     if stream in engine.running:
         engine.running.remove(stream)
     if stream in engine.waiting:
         engine.waiting.remove(stream)
     if not engine.is_dead:
-        _fill_slots(world, engine)
+        _fill_slots(simulation, engine)
--- a/packages/standins/fulmarward_standins/demand/_entries.py
+++ b/packages/standins/fulmarward_standins/demand/_entries.py
@@ -1,4 +1,4 @@
-"""Instances in virtual time, which use the decisions that real ones use."""
+"""Simulated instances that use the decision functions of real instances."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -48,23 +48,23 @@
     start_stream,
 )
 from fulmarward_standins.demand._types import Call, Scenario
-from fulmarward_standins.demand._world import World, finish_call, refuse_call
+from fulmarward_standins.demand._world import Simulation, finish_call, refuse_call
 
-#: Tries of one request.
-MOST_TRIES = 3
+#: Maximum number of tries of one request.
+MAX_TRIES = 3
 
-#: Seconds that a target which failed gets no new work.
+#: Seconds for which a target is avoided after a failure.
 AVOID_S = 1.0
 
-#: Chooses a target for a call, or none.
-Chooser = Callable[["Entry", Call, frozenset[str]], TargetView | None]
+#: Chooses a target for a call, `None` if there is none.
+Chooser = Callable[["SimulatedInstance", Call, frozenset[str]], TargetView | None]
 
 
 @dataclass(kw_only=True)
-class Entry:
-    """One instance."""
+class SimulatedInstance:
+    """State of a simulated instance."""
 
-    world: World
+    simulation: Simulation
     engines: dict[str, Engine]
     data_centre: str
     choose: Chooser
@@ -75,18 +75,18 @@
     buckets: dict[str, Bucket] = field(default_factory=dict)
     outputs: dict[str, Outputs] = field(default_factory=dict)
     budget: RetryBudget = field(default_factory=RetryBudget)
-    #: Calls and tickets that wait or run, by request.
+    #: Queued and running calls with their tickets, by request id.
     calls: dict[str, tuple[Call, Ticket]] = field(default_factory=dict)
     running: int = 0
-    #: Tokens a second asked for by team, and in the present second.
+    #: Smoothed demand in tokens per second by team, and tokens of the current second.
     demand: dict[str, float] = field(default_factory=dict)
-    counted: dict[str, float] = field(default_factory=dict)
-    #: Baselines keep the turn of a round robin here.
-    turn: int = 0
+    current_demand: dict[str, float] = field(default_factory=dict)
+    #: Round-robin position, used by the round-robin policy only.
+    next_index: int = 0
 
 
 def make_view(engine: Engine) -> TargetView:
-    """Return a fresh view of an engine."""
+    """Return a new view of an engine."""
     scenario = engine.scenario
     target = Target(
         address="127.0.0.1:1",
@@ -102,14 +102,14 @@
     return TargetView(name=engine.name, target=target)
 
 
-def submit_call(entry: Entry, call: Call) -> None:
-    """Take a call as an instance does."""
-    if not entry.is_managed:
-        _try(entry, call, frozenset(), None)
+def submit_call(instance: SimulatedInstance, call: Call) -> None:
+    """Admit, queue or refuse a call as a real instance does."""
+    if not instance.is_managed:
+        _try(instance, call, frozenset(), None)
         return
-    now = entry.world.now
-    speed = measure_pool(list(entry.views.values()), now=now)
-    outputs = entry.outputs.setdefault(call.kind.name, Outputs())
+    now = instance.simulation.now
+    speed = measure_pool(list(instance.views.values()), now=now)
+    outputs = instance.outputs.setdefault(call.kind.name, Outputs())
     expected = expect_output(outputs, call.bound)
     ticket = Ticket(
         request=str(call.number),
@@ -119,105 +119,114 @@
         service_s=call.prompt * speed.prefill_s + expected * speed.token_s,
         deadline=call.deadline,
     )
-    counted = entry.counted
+    counted = instance.current_demand
     counted[call.team] = counted.get(call.team, 0.0) + ticket.tokens
     result = admit_ticket(
-        entry.queue,
-        entry.buckets[call.team],
+        instance.queue,
+        instance.buckets[call.team],
         ticket,
-        weight=max(1e-6, entry.world.scenario.teams[call.team].sold),
-        running=entry.running,
+        weight=max(1e-6, instance.simulation.scenario.teams[call.team].sold),
+        running=instance.running,
         places=speed.capacity,
         now=now,
-        generator=entry.world.generator,
+        generator=instance.simulation.generator,
     )
     if isinstance(result, Refusal):
         if result.retry_after_s is None:
             doubt_output(outputs)
-        refuse_call(entry.world, call, result.code.name, result.retry_after_s)
+        refuse_call(instance.simulation, call, result.code.name, result.retry_after_s)
         return
-    entry.calls[result.request] = (call, result)
-    grant_places(entry)
+    instance.calls[result.request] = (call, result)
+    start_waiting_calls(instance)
 
 
-def grant_places(entry: Entry) -> None:
-    """Drop what is late and start what has a place."""
-    now = entry.world.now
-    for ticket in drop_late(entry.queue, now=now):
-        call, _ = entry.calls.pop(ticket.request)
-        note_wait(entry.queue, ticket, now=now)
+def start_waiting_calls(instance: SimulatedInstance) -> None:
+    """Refuse queued calls that are too late, then start calls in free places."""
+    now = instance.simulation.now
+    for ticket in drop_late(instance.queue, now=now):
+        call, _ = instance.calls.pop(ticket.request)
+        note_wait(instance.queue, ticket, now=now)
         if not ticket.is_lent:
-            _settle(entry, ticket, 0.0)
-        refuse_call(entry.world, call, ResultCode.DEADLINE_TOO_NEAR.name, 1.0)
-    speed = measure_pool(list(entry.views.values()), now=now)
-    while ticket := pop_next(entry.queue, running=entry.running, places=speed.places):
-        note_wait(entry.queue, ticket, now=now)
-        call, _ = entry.calls[ticket.request]
-        entry.running += 1
-        _try(entry, call, frozenset(), ticket)
-
-
-def _settle(entry: Entry, ticket: Ticket, used: float) -> None:
+            _settle(instance, ticket, 0.0)
+        refuse_call(instance.simulation, call, ResultCode.DEADLINE_TOO_NEAR.name, 1.0)
+    speed = measure_pool(list(instance.views.values()), now=now)
+    while ticket := pop_next(
+        instance.queue, running=instance.running, places=speed.places
+    ):
+        note_wait(instance.queue, ticket, now=now)
+        call, _ = instance.calls[ticket.request]
+        instance.running += 1
+        _try(instance, call, frozenset(), ticket)
+
+
+def _settle(instance: SimulatedInstance, ticket: Ticket, used: float) -> None:
     settle_tokens(
-        entry.buckets[ticket.team],
+        instance.buckets[ticket.team],
         reserved=ticket.tokens,
         used=used,
-        now=entry.world.now,
+        now=instance.simulation.now,
     )
 
 
 def _try(
-    entry: Entry, call: Call, tried: frozenset[str], ticket: Ticket | None
+    instance: SimulatedInstance,
+    call: Call,
+    tried: frozenset[str],
+    ticket: Ticket | None,
 ) -> None:
-    world = entry.world
-    if world.now >= call.deadline:
-        _conclude(entry, call, ticket, "late")
+    simulation = instance.simulation
+    if simulation.now >= call.deadline:
+        _finish(instance, call, ticket, "late")
         return
-    view = entry.choose(entry, call, tried)
+    view = instance.choose(instance, call, tried)
     if view is None:
-        _conclude(entry, call, ticket, "no_target")
+        _finish(instance, call, ticket, "no_target")
         return
-    world.tally.tries += 1
+    simulation.record.tries += 1
     if not tried:
-        world.tally.firsts += 1
-        note_first_try(entry.budget)
-    started = world.now
+        simulation.record.first_tries += 1
+        note_first_try(instance.budget)
+    started = simulation.now
     view.in_flight += 1
-    engine = entry.engines[view.name]
+    engine = instance.engines[view.name]
 
-    def hear(what: str) -> None:
-        if what == "first":
-            call.first_at = world.now
-            if entry.is_managed:
-                _note_first(entry, call, view, started, ticket)
+    def on_event(event: str) -> None:
+        if event == "first":
+            call.first_at = simulation.now
+            if instance.is_managed:
+                _note_first(instance, call, view, started, ticket)
             return
         view.in_flight -= 1
-        if what == "whole":
-            streamed_s = world.now - call.first_at
+        if event == "whole":
+            streamed_s = simulation.now - call.first_at
             note_success(view.performance, tokens=call.output, streamed_s=streamed_s)
-            _conclude(entry, call, ticket, "whole")
+            _finish(instance, call, ticket, "whole")
             return
-        _fail(entry, call, tried, ticket, view, has_begun=call.first_at >= started)
+        _fail(instance, call, tried, ticket, view, has_begun=call.first_at >= started)
 
     def expire() -> None:
         if not stream.is_over:
-            cancel_stream(world, engine, stream)
+            cancel_stream(simulation, engine, stream)
             view.in_flight -= 1
-            _conclude(entry, call, ticket, "late")
+            _finish(instance, call, ticket, "late")
 
-    stream = Stream(call=call, tell=hear)
-    if start_stream(world, engine, stream):
-        world.at(call.deadline, expire)
+    stream = Stream(call=call, on_event=on_event)
+    if start_stream(simulation, engine, stream):
+        simulation.schedule(call.deadline, expire)
         return
     view.in_flight -= 1
-    note_refusal(view.performance, slots=view.target.slots, now=world.now)
-    _fail(entry, call, tried, ticket, view, has_begun=False)
+    note_refusal(view.performance, slots=view.target.slots, now=simulation.now)
+    _fail(instance, call, tried, ticket, view, has_begun=False)
 
 
 def _note_first(
-    entry: Entry, call: Call, view: TargetView, started: float, ticket: Ticket
+    instance: SimulatedInstance,
+    call: Call,
+    view: TargetView,
+    started: float,
+    ticket: Ticket,
 ) -> None:
-    now = entry.world.now
+    now = instance.simulation.now
     note_first_token(
         view.performance,
         slots=view.target.slots,
@@ -231,7 +240,7 @@
 
 
 def _fail(
-    entry: Entry,
+    instance: SimulatedInstance,
     call: Call,
     tried: frozenset[str],
     ticket: Ticket | None,
@@ -239,49 +248,53 @@
     *,
     has_begun: bool,
 ) -> None:
-    now = entry.world.now
+    now = instance.simulation.now
     note_failure(view.performance, slots=view.target.slots, now=now)
     view.avoided_until = now + AVOID_S
     tried = tried | {view.name}
-    may_retry = not has_begun and len(tried) < MOST_TRIES
-    if may_retry and (not entry.is_managed or spend_retry(entry.budget)):
-        _try(entry, call, tried, ticket)
+    may_retry = not has_begun and len(tried) < MAX_TRIES
+    if may_retry and (not instance.is_managed or spend_retry(instance.budget)):
+        _try(instance, call, tried, ticket)
         return
-    _conclude(entry, call, ticket, "failed" if has_begun else "no_target")
+    _finish(instance, call, ticket, "failed" if has_begun else "no_target")
 
 
-def _conclude(entry: Entry, call: Call, ticket: Ticket | None, end: str) -> None:
-    world = entry.world
+def _finish(
+    instance: SimulatedInstance, call: Call, ticket: Ticket | None, outcome: str
+) -> None:
+    simulation = instance.simulation
     if ticket is not None:
-        entry.running -= 1
-        entry.calls.pop(ticket.request, None)
-        used = call.prompt + call.output if end == "whole" else ticket.tokens
+        instance.running -= 1
+        instance.calls.pop(ticket.request, None)
+        used = call.prompt + call.output if outcome == "whole" else ticket.tokens
         if not ticket.is_lent:
-            _settle(entry, ticket, 0.0 if end == "no_target" else used)
-    if end == "no_target":
-        refuse_call(world, call, "NO_TARGET", 1.0)
+            _settle(instance, ticket, 0.0 if outcome == "no_target" else used)
+    if outcome == "no_target":
+        refuse_call(simulation, call, "NO_TARGET", 1.0)
     else:
-        finish_call(world, call, end)
-    if end == "whole":
-        note_output(entry.outputs.setdefault(call.kind.name, Outputs()), call.output)
+        finish_call(simulation, call, outcome)
+    if outcome == "whole":
+        note_output(instance.outputs.setdefault(call.kind.name, Outputs()), call.output)
     if ticket is not None:
-        world.at(world.now, lambda: grant_places(entry))
+        simulation.schedule(simulation.now, lambda: start_waiting_calls(instance))
 
 
-def choose_ours(entry: Entry, call: Call, tried: frozenset[str]) -> TargetView | None:
-    """Choose as a real instance does."""
+def choose_as_instance(
+    instance: SimulatedInstance, call: Call, tried: frozenset[str]
+) -> TargetView | None:
+    """Choose a target as a real instance does."""
     prefixes = (str(call.prefix),) if call.prefix >= 0 else ()
     choice = choose_target(
-        candidates=list(entry.views.values()),
-        data_centre=entry.data_centre,
-        now=entry.world.now,
-        generator=entry.world.generator,
+        candidates=list(instance.views.values()),
+        data_centre=instance.data_centre,
+        now=instance.simulation.now,
+        generator=instance.simulation.generator,
         ask=Ask(
             prompt_tokens=call.prompt,
             output_tokens=call.output,
             prefixes=prefixes,
-            prefix_tokens=entry.world.scenario.prefix_tokens,
-            slack_s=call.deadline - entry.world.now,
+            prefix_tokens=instance.simulation.scenario.prefix_tokens,
+            slack_s=call.deadline - instance.simulation.now,
             may_probe=call.kind.urgency is not Urgency.URGENT,
             tried=tried,
         ),
@@ -289,64 +302,66 @@
     return choice.chosen if choice else None
 
 
-def review_targets(entry: Entry) -> None:
-    """Set aside what is bad beside its peers, then start what has a place."""
-    pool = {name: view.performance for name, view in entry.views.items()}
-    review_pool(pool, now=entry.world.now)
-    grant_places(entry)
+def review_targets(instance: SimulatedInstance) -> None:
+    """Exclude targets that perform worse than their peers, then start calls."""
+    pool = {name: view.performance for name, view in instance.views.items()}
+    review_pool(pool, now=instance.simulation.now)
+    start_waiting_calls(instance)
 
 
-def read_reports(entry: Entry) -> None:
-    """Take in what the engines report, as late as the scenario says."""
-    world = entry.world
-    horizon = world.now - world.scenario.report_lag_s
-    for name, engine in entry.engines.items():
+def read_reports(instance: SimulatedInstance) -> None:
+    """Read the load reports of the engines with the delay of the scenario."""
+    simulation = instance.simulation
+    horizon = simulation.now - simulation.scenario.report_lag_s
+    for name, engine in instance.engines.items():
         seen = [load for at, load in engine.loads if at <= horizon]
         if engine.is_dead or not seen:
             continue
-        running, waiting = (0, 0) if engine.is_lying else seen[-1]
-        entry.views[name].report = LoadReport(
-            running=running, waiting=waiting, received_at=world.now
+        running, waiting = (0, 0) if engine.reports_no_load else seen[-1]
+        instance.views[name].report = LoadReport(
+            running=running, waiting=waiting, received_at=simulation.now
         )
 
 
-def share_demand(entries: list[Entry]) -> None:
-    """Split the sold shares anew by what was asked for where, a second late."""
-    for place, entry in enumerate(entries):
-        for team in entry.world.scenario.teams:
+def rebalance_shares(instances: list[SimulatedInstance]) -> None:
+    """Split the sold shares by the demand at each instance up to the last second."""
+    for index, instance in enumerate(instances):
+        for team in instance.simulation.scenario.teams:
             others = {
                 str(number): other.demand.get(team, 0.0)
-                for number, other in enumerate(entries)
-                if number != place
+                for number, other in enumerate(instances)
+                if number != index
             }
             part = split_share(
-                own=entry.demand.get(team, 0.0), others=others, members=len(entries)
+                own=instance.demand.get(team, 0.0),
+                others=others,
+                members=len(instances),
             )
-            sold = sold_tokens_per_s(entry.world.scenario, team)
+            sold = sold_tokens_per_s(instance.simulation.scenario, team)
             resize_bucket(
-                entry.buckets[team],
+                instance.buckets[team],
                 rate=sold * part,
                 depth=split_burst(BURST_S * sold, part),
-                now=entry.world.now,
+                now=instance.simulation.now,
             )
-    for entry in entries:
-        for team in entry.world.scenario.teams:
-            counted = entry.counted.pop(team, 0.0)
-            known = entry.demand.get(team, counted)
-            entry.demand[team] = known + 0.3 * (counted - known)
+    for instance in instances:
+        for team in instance.simulation.scenario.teams:
+            counted = instance.current_demand.pop(team, 0.0)
+            smoothed = instance.demand.get(team, counted)
+            instance.demand[team] = smoothed + 0.3 * (counted - smoothed)
 
 
-#: A team's burst, in seconds of its rate.
+#: Burst size of a team, in seconds of its rate.
 BURST_S = 3.0
 
 
 def sold_tokens_per_s(scenario: Scenario, team: str) -> float:
-    """Return the tokens a second that a team was sold."""
+    """Return the tokens per second sold to a team."""
     return scenario.teams[team].sold * capacity_per_s(scenario) * mean_tokens(scenario)
 
 
-def fill_buckets(entry: Entry, instances: int) -> None:
-    """Give an instance its even part of each share."""
-    for team in entry.world.scenario.teams:
-        rate = sold_tokens_per_s(entry.world.scenario, team) / instances
-        entry.buckets[team] = make_bucket(rate=rate, depth=BURST_S * rate, now=0.0)
+def fill_buckets(instance: SimulatedInstance, instances: int) -> None:
+    """Give an instance an equal part of the share of each team."""
+    for team in instance.simulation.scenario.teams:
+        rate = sold_tokens_per_s(instance.simulation.scenario, team) / instances
+        instance.buckets[team] = make_bucket(rate=rate, depth=BURST_S * rate, now=0.0)
--- a/packages/standins/fulmarward_standins/demand/_world.py
+++ b/packages/standins/fulmarward_standins/demand/_world.py
@@ -1,4 +1,4 @@
-"""Virtual time: a heap of actions, run in order without a clock."""
+"""A discrete-event simulation: a heap of actions ordered by virtual time."""
 
 import heapq
 import itertools
@@ -6,74 +6,74 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fulmarward_standins.demand._types import Call, Scenario, Tally
+from fulmarward_standins.demand._types import Call, RunRecord, Scenario
 
-#: Times that a caller comes back when told to.
-MOST_RETURNS = 3
+#: Maximum number of resubmissions of a call.
+MAX_RESUBMISSIONS = 3
 
-#: Seconds after which a caller comes back when not told when.
-UNTOLD_RETURN_S = 1.0
+#: Seconds before a resubmission if the refusal names no delay.
+DEFAULT_RETRY_AFTER_S = 1.0
 
 
 @dataclass(kw_only=True)
-class World:
-    """The present time, what is to happen, and what came out so far."""
+class Simulation:
+    """Virtual time, the event queue, and the results so far."""
 
     scenario: Scenario
     generator: random.Random
     now: float = 0.0
     actions: list = field(default_factory=list)
-    numbers: itertools.count = field(default_factory=itertools.count)
-    tally: Tally = field(default_factory=Tally)
-    #: How a call reaches an instance.
+    sequence: itertools.count = field(default_factory=itertools.count)
+    record: RunRecord = field(default_factory=RunRecord)
+    #: Delivers a call to an instance.
     submit: Callable[[Call], None] = lambda call: None
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
-        """Run `action` at a moment."""
-        heapq.heappush(self.actions, (when, next(self.numbers), action))
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
+        """Run `action` at virtual time `when`."""
+        heapq.heappush(self.actions, (when, next(self.sequence), action))
 
-    def every(self, period_s: float, action: Callable[[], None]) -> None:
-        """Run `action` now and each `period_s` until well after the last arrival."""
+    def schedule_every(self, period_s: float, action: Callable[[], None]) -> None:
+        """Run `action` now and every `period_s`, until 60 s after the last arrival."""
 
-        def again() -> None:
+        def repeat() -> None:
             action()
-            if self.now < self.scenario.length_s + 60:
-                self.at(self.now + period_s, again)
+            if self.now < self.scenario.duration_s + 60:
+                self.schedule(self.now + period_s, repeat)
 
-        self.at(self.now, again)
+        self.schedule(self.now, repeat)
 
 
-def run_world(world: World) -> None:
-    """Run until nothing is left to happen."""
-    while world.actions:
-        world.now, _, action = heapq.heappop(world.actions)
+def run_simulation(simulation: Simulation) -> None:
+    """Run actions until the queue is empty."""
+    while simulation.actions:
+        simulation.now, _, action = heapq.heappop(simulation.actions)
         action()
 
 
-def finish_call(world: World, call: Call, end: str) -> None:
-    """Note the end of a call."""
-    call.end = end
-    call.ended_at = world.now
+def finish_call(simulation: Simulation, call: Call, outcome: str) -> None:
+    """Record the outcome of a call."""
+    call.outcome = outcome
+    call.ended_at = simulation.now
 
 
 def refuse_call(
-    world: World, call: Call, code: str, retry_after_s: float | None
+    simulation: Simulation, call: Call, code: str, retry_after_s: float | None
 ) -> None:
-    """Tell a caller that its request was not run; one that obeys comes back."""
-    tally = world.tally
-    tally.refusals_s.append(world.now - call.arrived)
-    tally.codes[code] = tally.codes.get(code, 0) + 1
-    finish_call(world, call, "refused")
-    if not call.obeys or call.returns >= MOST_RETURNS:
+    """Refuse a call, and schedule its resubmission if the caller retries."""
+    record = simulation.record
+    record.refusals_s.append(simulation.now - call.arrived)
+    record.codes[code] = record.codes.get(code, 0) + 1
+    finish_call(simulation, call, "refused")
+    if not call.retries_when_told or call.resubmissions >= MAX_RESUBMISSIONS:
         return
-    after_s = UNTOLD_RETURN_S if retry_after_s is None else retry_after_s
-    world.at(world.now + after_s, lambda: _come_back(world, call))
+    after_s = DEFAULT_RETRY_AFTER_S if retry_after_s is None else retry_after_s
+    simulation.schedule(simulation.now + after_s, lambda: _resubmit(simulation, call))
 
 
-def _come_back(world: World, call: Call) -> None:
-    call.returns += 1
-    call.arrived = world.now
-    call.end = ""
-    world.submit(call)
-    if call.end != "refused":
-        call.returns_taken += 1
+def _resubmit(simulation: Simulation, call: Call) -> None:
+    call.resubmissions += 1
+    call.arrived = simulation.now
+    call.outcome = ""
+    simulation.submit(call)
+    if call.outcome != "refused":
+        call.resubmissions_admitted += 1
--- a/packages/standins/fulmarward_standins/demand/tests/test_scenarios.py
+++ b/packages/standins/fulmarward_standins/demand/tests/test_scenarios.py
@@ -3,8 +3,9 @@
 
 from fulmarward_standins.demand import find_scenario, measure_run, run_scenario
 
-#: Least share of the bound, and least part of what the worst team inside its share
-#: asked for. The runs are seeded and in virtual time, so the figures never differ.
+#: Minimum share of the upper bound of useful work, and minimum share of its demand that
+#: the worst team within its sold share gets. Runs are seeded and use virtual time, so
+#: the results are deterministic.
 _BOUNDS = {
     "load 0.7": (0.97, 0.99),
     "load 1.0": (0.95, 0.98),
@@ -29,7 +30,7 @@
     faults = tuple(
         replace(fault, at=min(fault.at, _FAULT_AT)) for fault in scenario.faults
     )
-    return replace(scenario, length_s=25.0, warm_s=7.0, faults=faults)
+    return replace(scenario, duration_s=25.0, warmup_s=7.0, faults=faults)
 
 
 class ScenariosTest(unittest.TestCase):
@@ -37,32 +38,32 @@
         for name, (of_bound, worst_inside) in _BOUNDS.items():
             scenario = _shorten(find_scenario(name))
             with self.subTest(scenario=name):
-                tally = run_scenario(scenario, policy="ours", seed=1)
-                self._check_cut(scenario, tally)
-                row = measure_run(scenario, tally)
+                record = run_scenario(scenario, policy="ours", seed=1)
+                self._check_cut(scenario, record)
+                row = measure_run(scenario, record)
                 self.assertGreaterEqual(row["of_bound"], of_bound)
                 self.assertGreaterEqual(row["worst_inside"], worst_inside)
                 self.assertLessEqual(row["retries"], 1.1)
-                self.assertTrue(all(call.end for call in tally.calls))
+                self.assertTrue(all(call.outcome for call in record.calls))
 
-    def _check_cut(self, scenario, tally):
-        """Check that only answers that ran on a lost target were cut, and set aside.
+    def _check_cut(self, scenario, record):
+        """Check that only answers on failed targets were cut, and remove them.
 
-        What had begun there when it failed cannot be saved by any choice.
+        No policy can save a stream that was running on a target when it failed.
         """
         hit = {place for fault in scenario.faults for place in fault.engines}
-        cut = [call for call in tally.calls if call.end == "failed"]
+        cut = [call for call in record.calls if call.outcome == "failed"]
         self.assertLessEqual(len(cut), len(hit) * scenario.slots)
         kept = [
             (call, at)
-            for call, at in zip(tally.calls, tally.first_arrivals, strict=True)
-            if call.end != "failed"
+            for call, at in zip(record.calls, record.first_arrivals, strict=True)
+            if call.outcome != "failed"
         ]
-        tally.calls = [call for call, _ in kept]
-        tally.first_arrivals = [at for _, at in kept]
+        record.calls = [call for call, _ in kept]
+        record.first_arrivals = [at for _, at in kept]
 
-    def test_a_run_repeats_itself(self):
-        scenario = replace(find_scenario("bursts"), length_s=5.0, warm_s=1.0)
+    def test_runs_are_deterministic(self):
+        scenario = replace(find_scenario("bursts"), duration_s=5.0, warmup_s=1.0)
         rows = [
             measure_run(scenario, run_scenario(scenario, policy="ours", seed=3))
             for _ in range(2)
