--- a/packages/standins/fulmarward_standins/bench/__init__.py
+++ b/packages/standins/fulmarward_standins/bench/__init__.py
@@ -1,5 +1,5 @@
-"""Benches: each is a module with `measure(*, seed) -> list[dict]`, a dict a row.
+"""Benchmarks: modules with `measure(*, seed) -> list[dict]`, one dict per row.
 
-Rows give comparisons as ratios within the run, so that a busy machine moves both
-sides. `scripts/bench NAME` runs one and prints a table.
+Comparisons are ratios of values from the same run, so that the load of the machine
+affects both sides. `scripts/bench NAME` runs one benchmark and prints a table.
 """
--- a/packages/standins/fulmarward_standins/bench/__main__.py
+++ b/packages/standins/fulmarward_standins/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the benches: `scripts/bench NAME [--seed N] [--json]`."""
+"""Command line of the benchmarks: `scripts/bench NAME [--seed N] [--json]`."""
 
 import importlib
 import json
@@ -9,14 +9,16 @@
 
 import fire
 
-#: Modules of this folder that are no benches.
-_NOT_BENCHES = ("__init__", "__main__")
+#: Modules of this package that are not benchmarks.
+_NOT_BENCHMARKS = ("__init__", "__main__")
 
 
 def _list_names() -> list[str]:
     names = [path.stem for path in Path(__file__).parent.glob("*.py")]
     return sorted(
-        name for name in names if name not in _NOT_BENCHES and not name.startswith("_")
+        name
+        for name in names
+        if name not in _NOT_BENCHMARKS and not name.startswith("_")
     )
 
 
@@ -47,7 +49,7 @@
 
 
 def run(name: str, seed: int = 1, json_lines: bool = False) -> None:
-    """Run the bench NAME; JSON_LINES prints one object a row."""
+    """Run the benchmark NAME; JSON_LINES prints one object per row."""
     if name not in _list_names():
         print(f"expected one of {', '.join(_list_names())}, found {name!r}")
         sys.exit(2)
--- a/packages/standins/fulmarward_standins/bench/_control_tables.py
+++ b/packages/standins/fulmarward_standins/bench/_control_tables.py
@@ -1,4 +1,4 @@
-"""Member tables of a fleet of the design size, exchanged without sockets."""
+"""Gossip of member tables in a simulated fleet of the design size, without sockets."""
 
 import random
 import time
@@ -17,18 +17,18 @@
     take_rumours,
 )
 
-#: Members, data centres, and changes of members a day: 690 replaced, 34 failed.
-MEMBERS, DATA_CENTRES, CHANGES_A_DAY = 330, 19, 724
+#: Members, data centres, and member changes per day: 690 replaced, 34 failed.
+MEMBERS, DATA_CENTRES, CHANGES_PER_DAY = 330, 19, 724
 
-#: Rumours of one replaced or failed member: leaving or suspect, dead, the new one.
-RUMOURS_A_CHANGE = 3
+#: Rumours per replaced or failed member: leaving or suspect, dead, and its successor.
+RUMOURS_PER_CHANGE = 3
 
 
 @dataclass(kw_only=True)
 class _Fleet:
     tables: dict[str, MemberTable]
     neighbours: dict[str, list[str]]
-    #: Bytes of messages and heartbeats sent.
+    #: Bytes of all messages, and number of heartbeats.
     bytes: int = 0
     heartbeats: int = 0
 
@@ -74,7 +74,7 @@
 
 
 def _run_round(fleet: _Fleet, generator: random.Random) -> None:
-    """Send one heartbeat and its answer from each to each neighbour."""
+    """Send a heartbeat from each member to each neighbour, and its answer back."""
     names = list(fleet.tables)
     generator.shuffle(names)
     for name in names:
@@ -84,17 +84,19 @@
             _send(fleet, neighbour, name)
 
 
-def _spread(fleet: _Fleet, changes: list[Member], generator: random.Random) -> dict:
-    """Bring in changes at one member each and go on until all tables are equal."""
+def _spread_until_equal(
+    fleet: _Fleet, changes: list[Member], generator: random.Random
+) -> dict:
+    """Report each change to one member, and run rounds until no rumour is left."""
     for change in changes:
-        watcher = fleet.neighbours[change.name][0]
-        merge_member(fleet.tables[watcher], change, now=0.0)
+        reporter = fleet.neighbours[change.name][0]
+        merge_member(fleet.tables[reporter], change, now=0.0)
     fleet.bytes = fleet.heartbeats = rounds = 0
-    begun = time.process_time()
+    started = time.process_time()
     while any(table.untold for table in fleet.tables.values()):
         _run_round(fleet, generator)
         rounds += 1
-    seconds = time.process_time() - begun
+    seconds = time.process_time() - started
     digests = {combine_digests(table) for table in fleet.tables.values()}
     return {
         "rounds": rounds,
@@ -106,38 +108,40 @@
 
 
 def measure_tables(*, seed: int) -> list[dict]:
-    """Return what heartbeats, one change and the loss of a data centre cost."""
+    """Return the cost of heartbeats, a member change and the loss of a data centre."""
     generator = random.Random(seed)
     fleet = _make_fleet()
     own = next(iter(fleet.tables))
     neighbours = fleet.neighbours[own]
-    a_second = sum(1 / choose_heartbeat(neighbours, name) for name in neighbours)
+    heartbeats_per_s = sum(
+        1 / choose_heartbeat(neighbours, name) for name in neighbours
+    )
     _run_round(fleet, generator)
     idle_bytes = fleet.bytes / fleet.heartbeats
-    one = _spread(
+    one = _spread_until_equal(
         fleet,
         [replace(fleet.tables[own].members["i007"], state=MemberState.LEAVING)],
         generator,
     )
     extra = one["bytes"] - idle_bytes * one["heartbeats"]
-    day = extra * RUMOURS_A_CHANGE * CHANGES_A_DAY / 86_400
+    bytes_per_s = extra * RUMOURS_PER_CHANGE * CHANGES_PER_DAY / 86_400
     lost = [
         replace(fleet.tables[own].members[name], state=MemberState.SUSPECT)
         for name, member in fleet.tables[own].members.items()
         if member.data_centre == "dc-03"
     ]
-    burst = _spread(fleet, lost, generator)
+    burst = _spread_until_equal(fleet, lost, generator)
     burst_extra = burst["bytes"] - idle_bytes * burst["heartbeats"]
     return [
         {
             "table": "idle, sent by one of 330",
-            "heartbeats_per_s": round(a_second, 2),
-            "bytes_per_s": round(idle_bytes * a_second),
+            "heartbeats_per_s": round(heartbeats_per_s, 2),
+            "bytes_per_s": round(idle_bytes * heartbeats_per_s),
         },
         {
             "table": "724 changes a day",
             "bytes": round(extra),
-            "bytes_per_s": round(day, 2),
+            "bytes_per_s": round(bytes_per_s, 2),
             "tables_left_different": one["tables_left_different"],
             "rounds": one["rounds"],
         },
--- a/packages/standins/fulmarward_standins/bench/control.py
+++ b/packages/standins/fulmarward_standins/bench/control.py
@@ -1,8 +1,8 @@
-"""What an instance spends on control, against the number of instances.
+"""Control-plane cost of an instance, by number of instances.
 
-Real instance processes with one platform stand-in, on an idle fleet and through
-changes of configuration; then the member tables of a fleet of the design size in this
-one process, without sockets.
+Measures real instance processes with one platform stand-in, idle and during
+configuration changes, and then simulates the member tables of a fleet of the design
+size in this process, without sockets.
 """
 
 import asyncio
@@ -25,24 +25,24 @@
     wait_until,
 )
 
-#: Numbers of instances; 60 processes take some 4 GB and start in a few seconds.
+#: Numbers of instances; 60 processes take about 4 GB and start in a few seconds.
 SIZES = (3, 9, 27, 60)
 
-#: Data centres over which they are spread.
+#: Data centres of the instances.
 DATA_CENTRES = ("lx-alcantara", "lx-oriente", "lx-carnaxide")
 
-#: Seconds observed, and seconds before that for each instance: a fresh fleet tells
-#: of each of its members many times.
-WINDOW_S, SETTLE_S = 6.0, 0.3
+#: Seconds measured, and seconds of waiting per instance before that: a new fleet
+#: gossips about each of its members many times.
+WINDOW_S, SETTLE_PER_INSTANCE_S = 6.0, 0.3
 
-#: Starts of one size before it is given up.
-MOST_STARTS = 3
+#: Maximum number of starts of a fleet.
+MAX_STARTS = 3
 
-#: Changes of configuration at each size.
+#: Configuration changes per fleet size.
 CHANGES = 3
 
-#: Bytes beside the payload of one frame: IP and TCP with timestamps, the websocket's
-#: own head, and the acknowledgement that goes back.
+#: Bytes per frame besides its payload: IP and TCP with timestamps, the websocket
+#: header, and the acknowledgement.
 FRAME_OVERHEAD_BYTES = 52 + 6 + 52
 
 #: The number of instances that the design is for.
@@ -60,7 +60,7 @@
 
 
 async def _read_counters(fleet: Fleet) -> dict[str, float]:
-    """Return the frames and bytes of all instances together."""
+    """Return the sums of frames and bytes over all instances."""
     totals = {"frames": 0.0, "bytes": 0.0}
     for item in fleet.plan.instances:
         url = fleet.get_url(item.name, "/metrics")
@@ -99,14 +99,14 @@
 
 
 async def _observe_idle(fleet: Fleet) -> dict[str, float]:
-    """Return what one instance spends on an idle fleet."""
+    """Return the cost per instance in an idle fleet."""
     size = len(fleet.plan.instances)
-    await asyncio.sleep(SETTLE_S * size)
+    await asyncio.sleep(SETTLE_PER_INSTANCE_S * size)
     counters, platform = await _read_counters(fleet), await _read_platform(fleet)
-    begun, processor_s = time.monotonic(), _read_processor_s(fleet)
+    started, processor_s = time.monotonic(), _read_processor_s(fleet)
     await asyncio.sleep(WINDOW_S)
     processor_s = _read_processor_s(fleet) - processor_s
-    seconds = time.monotonic() - begun
+    seconds = time.monotonic() - started
     after, platform_after = await _read_counters(fleet), await _read_platform(fleet)
     frames = (after["frames"] - counters["frames"]) / seconds / size
     payload = (after["bytes"] - counters["bytes"]) / seconds / size
@@ -124,7 +124,7 @@
 
 
 def _find_adoption(fleet: Fleet, name: str, epoch: int) -> float | None:
-    """Return the wall time at which an instance's log says it adopted `epoch`."""
+    """Return the wall time at which an instance logged the adoption of `epoch`."""
     text = fleet.processes[name].log.read_text()
     for line in reversed(text.splitlines()):
         if '"configuration_adopted"' in line:
@@ -137,7 +137,7 @@
 async def _measure_change(
     fleet: Fleet, number: int, after_accept: Callable[[], Awaitable[None]]
 ) -> float:
-    """Return the seconds from accepting a change to its being in force on all."""
+    """Return the seconds from accepting a change to its adoption by all instances."""
     current = (await fleet.call_operator("i000", "/declaration")).body
     declaration = current["declaration"]
     declaration["data_centres"]["lx-oriente"]["region"] = f"r{number}"
@@ -151,7 +151,7 @@
         times = [_find_adoption(fleet, name, epoch) for name in names]
         return [] if None in times else times
 
-    times = await wait_until(find_adoptions, f"epoch {epoch} on all")
+    times = await wait_until(find_adoptions, f"epoch {epoch} on all instances")
     return max(0.0, max(times) - accepted_at)
 
 
@@ -172,35 +172,35 @@
         row["in_force_worst_s"] = round(max(spread), 2)
         row["reads_per_change"] = round((after["reads"] - before["reads"]) / CHANGES)
 
-        async def put_out() -> None:
+        async def start_outage() -> None:
             await fleet.control_platform(outage=True)
 
-        row["store_out_s"] = round(await _measure_change(fleet, 100, put_out), 2)
+        row["store_out_s"] = round(await _measure_change(fleet, 100, start_outage), 2)
         return row
 
 
-def _measure_with_starts(size: int) -> dict[str, float]:
-    """Measure a size, and start again when the fleet does not come up.
+def _measure_with_restarts(size: int) -> dict[str, float]:
+    """Measure a fleet size, restarting the fleet if it does not start.
 
-    On a machine where other fleets take ports too, one instance of many may find its
-    port taken; the row says how many starts were needed.
+    If other fleets run on the machine, the port of one of many instances may be taken.
+    The row contains the number of starts.
     """
-    for start in range(1, MOST_STARTS):
+    for start in range(1, MAX_STARTS):
         try:
             return {**asyncio.run(_measure_size(size)), "starts": start}
         except AssertionError:
             continue
-    return {**asyncio.run(_measure_size(size)), "starts": MOST_STARTS}
+    return {**asyncio.run(_measure_size(size)), "starts": MAX_STARTS}
 
 
 def _fit(rows: list[dict], column: str, scale: Callable[[int], float]) -> dict:
-    """Return the least squares line of a column and its root mean square error."""
-    across = [scale(row["instances"]) for row in rows]
+    """Return the least-squares line of a column and its root mean square error."""
+    sizes = [scale(row["instances"]) for row in rows]
     values = [row[column] for row in rows]
-    line = statistics.linear_regression(across, values)
+    line = statistics.linear_regression(sizes, values)
     errors = [
-        (value - line.intercept - line.slope * place) ** 2
-        for place, value in zip(across, values, strict=True)
+        (value - line.intercept - line.slope * size) ** 2
+        for size, value in zip(sizes, values, strict=True)
     ]
     return {
         "measure": column,
@@ -221,6 +221,6 @@
 
 
 def measure(*, seed: int) -> list[dict]:
-    """Return a row for each size, the fitted lines, and the tables' rows."""
-    rows = [_measure_with_starts(size) for size in SIZES]
+    """Return a row for each size, the fitted lines, and the rows of member tables."""
+    rows = [_measure_with_restarts(size) for size in SIZES]
     return [*rows, *_fit_all(rows), *measure_tables(seed=seed)]
--- a/packages/standins/fulmarward_standins/bench/declaration.py
+++ b/packages/standins/fulmarward_standins/bench/declaration.py
@@ -1,4 +1,4 @@
-"""What a declaration costs an instance: bytes, time to parse, memory, by its size."""
+"""Size, load, hash and parse time, and memory of declarations, by number of targets."""
 
 import json
 import time
@@ -7,32 +7,33 @@
 from fulmarward_core.declaration import hash_declaration, parse_declaration
 from fulmarward_standins.bench._fit import fit_line
 
-#: Numbers of targets; teams grow in proportion, to 550 at 4,100 targets.
+#: Numbers of targets; teams grow in proportion, up to 550 at 4,100 targets.
 SIZES = (500, 1000, 2000, 4100)
 
-#: Teams for each target at the design size.
-TEAMS_A_TARGET = 550 / 4100
+#: Teams per target at the design size.
+TEAMS_PER_TARGET = 550 / 4100
 
-#: Data centres, and models, at the design size.
-PLACES, MODELS = 19, 4
+#: Data centres and models at the design size.
+DATA_CENTRES, MODELS = 19, 4
 
-#: Times that each is done; the quickest counts.
+#: Repetitions of each measurement; the fastest one counts.
 ROUNDS = 3
 
 
 def make_large_declaration(targets: int) -> dict:
-    """Return a declaration with `targets` targets, and teams in proportion."""
-    places = [f"dc-{number}" for number in range(PLACES)]
+    """Return a declaration with `targets` targets and proportionally many teams."""
+    data_centres = [f"dc-{number}" for number in range(DATA_CENTRES)]
     models = [f"model-{number}" for number in range(MODELS)]
     pipelines = [f"pipeline-{number}" for number in range(4 * MODELS)]
     return {
         "data_centres": {
-            name: {"region": f"region-{index % 7}"} for index, name in enumerate(places)
+            name: {"region": f"region-{index % 7}"}
+            for index, name in enumerate(data_centres)
         },
         "links": [
             {"between": [first, second], "latency_ms": 5, "mbit_per_s": 1000}
-            for index, first in enumerate(places)
-            for second in places[index + 1 :]
+            for index, first in enumerate(data_centres)
+            for second in data_centres[index + 1 :]
         ],
         "teams": {
             f"team-{number}": {
@@ -42,7 +43,7 @@
                 "pipelines": pipelines[:6],
                 "services": ["callsheet"],
             }
-            for number in range(round(targets * TEAMS_A_TARGET))
+            for number in range(round(targets * TEAMS_PER_TARGET))
         },
         "models": {
             name: {"layers": 80, "versions": ["v1", "v2"], "serving": "v2"}
@@ -61,7 +62,7 @@
         "targets": {
             f"target-{number}": {
                 "address": f"10.{number % 19}.{number // 250}.{number % 250}:9000",
-                "data_centre": places[number % PLACES],
+                "data_centre": data_centres[number % DATA_CENTRES],
                 "kind": "engine",
                 "serves": models[number % MODELS],
                 "accelerator": f"kind-{number % 7}",
@@ -75,11 +76,11 @@
     }
 
 
-def _time_best(act) -> float:  # noqa: ANN001
+def _time_best(action) -> float:  # noqa: ANN001
     best = float("inf")
     for _ in range(ROUNDS):
         started = time.process_time()
-        act()
+        action()
         best = min(best, time.process_time() - started)
     return best
 
@@ -90,7 +91,7 @@
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     if isinstance(declaration, tuple):
-        raise AssertionError(f"expected a right declaration, found {declaration[:3]}")
+        raise AssertionError(f"expected a valid declaration, found {declaration[:3]}")
     return held
 
 
@@ -109,7 +110,7 @@
 
 
 def measure(*, seed: int) -> list[dict]:
-    """Return a row for each size and the slopes for each 1,000 targets."""
+    """Return a row for each size, and the slopes per 1,000 targets."""
     rows = [_measure_row(targets) for targets in SIZES]
     slopes: dict = {"targets": "a 1000"}
     fits: dict = {"targets": "fit"}
--- a/packages/standins/fulmarward_standins/bench/health.py
+++ b/packages/standins/fulmarward_standins/bench/health.py
@@ -1,9 +1,10 @@
-"""Control cost of following targets: bytes, processor time, platform calls.
+"""Cost of following targets: bytes, processor time and platform calls.
 
-Rows of kind `read` give the bytes of one read with everything above TCP; `followed`
-the slope of an instance's cost over the targets it follows, from real processes;
-`size` what one instance follows at the design size; `gossip` the bytes and the age of
-summaries among 330 simulated instances that exchange real encoded messages.
+Rows by kind: `read` is the bytes of one read, including all layers above TCP;
+`followed` is the cost of a real instance process by number of followed targets, with
+its slope; `size` is the number of targets that one instance follows at the design
+size; `gossip` is the bytes and the age of summaries among 330 simulated instances that
+exchange real encoded messages.
 """
 
 import asyncio
@@ -40,24 +41,25 @@
     wait_until,
 )
 
-#: Engines of each run of the `followed` rows.
+#: Numbers of engines, one `followed` row each.
 ENGINES = (1, 8, 24)
 
-#: Seconds that each of them is measured for.
+#: Seconds measured per `followed` row.
 MEASURED_S = 8.0
 
-#: The design size.
-INSTANCES, TARGETS, PLACES, REGIONS, MODELS = 330, 4_100, 19, 7, 4
+#: Design size of a fleet.
+INSTANCES, TARGETS, DATA_CENTRES, REGIONS, MODELS = 330, 4_100, 19, 7, 4
 
-#: Simulated seconds of the gossip, and its rounds as the instance has them.
+#: Simulated seconds of gossip, and the intervals of rounds and summaries of a real
+#: instance.
 GOSSIP_S, ROUND_S, SUMMARY_S = 180, 3, 15
 
-#: Bytes that a link adds to a message: its frame's head and the websocket's.
+#: Bytes that a link adds to a message: the frame header and the websocket header.
 FRAME_BYTES = 5 + 8
 
 
 class _CountingProxy:
-    """Passes one address through and counts the bytes in both directions."""
+    """Forwards connections to one address and counts the bytes in both directions."""
 
     def __init__(self, address: str) -> None:
         self.host, port = address.rsplit(":", 1)
@@ -76,9 +78,11 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        far_reader, far_writer = await asyncio.open_connection(self.host, self.port)
+        upstream_reader, upstream_writer = await asyncio.open_connection(
+            self.host, self.port
+        )
         await asyncio.gather(
-            self._pump(reader, far_writer), self._pump(far_reader, writer)
+            self._pump(reader, upstream_writer), self._pump(upstream_reader, writer)
         )
 
 
@@ -100,10 +104,10 @@
             size = (proxy.bytes - before) / 20
             rows.append({"kind": "read", "what": name, "bytes": round(size)})
         direct = fleet.find_target("e1").address
-        used = time.process_time()
+        started = time.process_time()
         for _ in range(400):
             await read_load(session, direct, now=0.0)
-        cpu_us = (time.process_time() - used) / 400 * 1e6
+        cpu_us = (time.process_time() - started) / 400 * 1e6
         report = await read_load(session, direct, now=0.0)
         rows.append({"kind": "read", "what": "its answer", "bytes": report.size})
         rows.append(
@@ -136,17 +140,17 @@
         before, counts, began = read_usage(pid), await _read_counts(fleet), time.time()
         await asyncio.sleep(MEASURED_S)
         after, later = read_usage(pid), await _read_counts(fleet)
-        passed = time.time() - began
+        elapsed_s = time.time() - began
         return {
             "kind": "followed",
             "targets": engines,
-            "cpu_ms_per_s": round((after.cpu_s - before.cpu_s) * 1000 / passed, 2),
+            "cpu_ms_per_s": round((after.cpu_s - before.cpu_s) * 1000 / elapsed_s, 2),
             "resident_mb": round(after.resident_bytes / 2**20, 1),
             "platform_reads_per_s": round(
-                (later["reads"] - counts["reads"]) / passed, 2
+                (later["reads"] - counts["reads"]) / elapsed_s, 2
             ),
             "platform_writes_per_s": round(
-                (later["writes"] - counts["writes"]) / passed, 2
+                (later["writes"] - counts["writes"]) / elapsed_s, 2
             ),
         }
 
@@ -155,10 +159,10 @@
     fit = fit_line(
         [row["targets"] for row in rows], [row["cpu_ms_per_s"] for row in rows]
     )
-    return {"kind": "followed", "what": "slope", **_show_fit(fit)}
+    return {"kind": "followed", "what": "slope", **_round_fit(fit)}
 
 
-def _show_fit(fit: object) -> dict:
+def _round_fit(fit: object) -> dict:
     return {
         name: round(value, 4) for name, value in vars(fit).items() if value is not None
     }
@@ -168,7 +172,7 @@
     return {
         f"e{number}": Target(
             address="127.0.0.1:1",
-            data_centre=f"dc{number % PLACES}",
+            data_centre=f"dc{number % DATA_CENTRES}",
             kind=TargetKind.ENGINE,
             serves=f"m{number % MODELS}",
             accelerator="",
@@ -183,22 +187,24 @@
 
 def _measure_size() -> dict:
     targets = _make_targets()
-    instances = {f"i{number}": f"dc{number % PLACES}" for number in range(INSTANCES)}
-    places = {
+    instances = {
+        f"i{number}": f"dc{number % DATA_CENTRES}" for number in range(INSTANCES)
+    }
+    data_centres = {
         f"dc{number}": DataCentre(region=f"r{number % REGIONS}")
-        for number in range(PLACES)
+        for number in range(DATA_CENTRES)
     }
     counts, began = [], time.process_time()
-    for name in list(instances)[:PLACES]:
+    for name in list(instances)[:DATA_CENTRES]:
         followed = select_followed(
             targets,
             own_name=name,
             own_data_centre=instances[name],
             instances=instances,
-            data_centres=places,
+            data_centres=data_centres,
         )
         counts.append(len(followed))
-    cpu_ms = (time.process_time() - began) / PLACES * 1000
+    cpu_ms = (time.process_time() - began) / DATA_CENTRES * 1000
     return {
         "kind": "size",
         "targets": TARGETS,
@@ -230,15 +236,15 @@
     return neighbours
 
 
-class _Node:
-    """The summaries that one simulated instance knows, and what its peers have."""
+class _SimulatedInstance:
+    """Versions of the summaries known here, and of those sent to each peer."""
 
     def __init__(self) -> None:
         self.versions: dict[PoolKey, int] = {}
         self.sent: dict[str, dict[PoolKey, int]] = {}
         self.bytes = 0
 
-    def make_news(self, peer: str) -> tuple[list[PoolKey], int]:
+    def take_unsent(self, peer: str) -> tuple[list[PoolKey], int]:
         sent = self.sent.setdefault(peer, {})
         keys = select_unsent(self.versions, sent)
         sent.update({key: self.versions[key] for key in keys})
@@ -258,38 +264,38 @@
         news = HealthNews(digest=2**63, summaries=records)
         return keys, len(encode_message(news)) + FRAME_BYTES
 
-    def hear(self, peer: str, versions: dict[PoolKey, int]) -> None:
+    def receive(self, peer: str, versions: dict[PoolKey, int]) -> None:
         sent = self.sent.setdefault(peer, {})
         for key, version in versions.items():
             if version > self.versions.get(key, 0):
                 self.versions[key] = sent[key] = version
 
 
-def _exchange(nodes: dict[str, _Node], name: str, other: str) -> None:
-    for teller, hearer in ((name, other), (other, name)):
-        keys, size = nodes[teller].make_news(hearer)
-        versions = {key: nodes[teller].versions[key] for key in keys}
-        nodes[hearer].hear(teller, versions)
-        nodes[teller].bytes += size
-        nodes[hearer].bytes += size
+def _exchange(nodes: dict[str, _SimulatedInstance], name: str, other: str) -> None:
+    for sender, receiver in ((name, other), (other, name)):
+        keys, size = nodes[sender].take_unsent(receiver)
+        versions = {key: nodes[sender].versions[key] for key in keys}
+        nodes[receiver].receive(sender, versions)
+        nodes[sender].bytes += size
+        nodes[receiver].bytes += size
 
 
 def _measure_gossip(seed: int) -> dict:
     generator = random.Random(seed)
     neighbours = _list_neighbours()
-    nodes = {name: _Node() for name in neighbours}
+    nodes = {name: _SimulatedInstance() for name in neighbours}
     names = list(nodes)
     keys = [
-        (f"model-{model}", f"data-centre-{place:02}")
+        (f"model-{model}", f"data-centre-{data_centre:02}")
         for model in range(MODELS)
-        for place in range(PLACES)
+        for data_centre in range(DATA_CENTRES)
     ]
-    tellers = {key: names[index * 4] for index, key in enumerate(keys)}
+    senders = {key: names[index * 4] for index, key in enumerate(keys)}
     ages = []
     for second in range(0, GOSSIP_S, ROUND_S):
         if second % SUMMARY_S == 0:
-            for key, teller in tellers.items():
-                nodes[teller].versions[key] = second * 10 + 1
+            for key, sender in senders.items():
+                nodes[sender].versions[key] = second * 10 + 1
         for turn, name in enumerate(generator.sample(names, len(names))):
             others = neighbours[name]
             _exchange(nodes, name, others[(second // ROUND_S + turn) % len(others)])
@@ -319,6 +325,6 @@
 
 
 def measure(*, seed: int) -> list[dict]:
-    """Return the rows; see the module."""
+    """Return the rows described in the module docstring."""
     rows = asyncio.run(_measure_processes())
     return [*rows, _measure_size(), _measure_gossip(seed)]
--- a/packages/standins/fulmarward_standins/bench/keys.py
+++ b/packages/standins/fulmarward_standins/bench/keys.py
@@ -1,4 +1,4 @@
-"""What at-most-once costs: milliseconds, bytes between instances, writes, memory."""
+"""Cost of at-most-once execution: latency, bytes between instances, writes, memory."""
 
 import asyncio
 import time
@@ -24,13 +24,13 @@
 )
 from fulmarward_standins.harness import Fleet, FleetPlan, TargetPlan, start_fleet
 
-#: Calls of each way, made in turns so that all meet the same machine.
+#: Calls per variant, interleaved so that all variants see the same machine load.
 CALLS = 150
 
-#: Entries whose memory is taken.
+#: Number of keys for the memory measurement.
 ENTRIES = 10_000
 
-#: Bytes of a frame's head on a link.
+#: Bytes of a frame header on a link.
 FRAME_BYTES = 5
 
 _KEY = "k" * 190
@@ -39,21 +39,21 @@
     attempt=1, target="engine-1234", address="10.20.30.40:8000", has_stream=True
 )
 
-#: Makes one call with a number and returns whether it was answered.
-Way = Callable[[int], Awaitable[bool]]
+#: Makes the call with a number and returns whether it succeeded.
+TimedCall = Callable[[int], Awaitable[bool]]
 
 
 def _make_plan() -> FleetPlan:
     return FleetPlan(targets=[TargetPlan(name="e1", stand_in={"token_ms": 1})])
 
 
-async def _make_ways(fleet: Fleet, seed: int) -> dict[str, Way]:
+async def _make_calls(fleet: Fleet, seed: int) -> dict[str, TimedCall]:
     prefix = (await fleet.call("i1", "/discovery")).body["idempotency_key_prefix"]
 
-    def make_way(instance: str, pipeline: str, stem: str) -> Way:
+    def make_call(instance: str, pipeline: str, key_prefix: str) -> TimedCall:
         async def call(number: int) -> bool:
             body = {"model": pipeline, "prompt": f"bench {seed} [1 tokens]"}
-            headers = {"Idempotency-Key": f"{stem}{number}"} if stem else {}
+            headers = {"Idempotency-Key": f"{key_prefix}{number}"} if key_prefix else {}
             result = await fleet.call(
                 instance, "/v1/completions", body, headers=headers
             )
@@ -62,10 +62,10 @@
         return call
 
     return {
-        "no key, may repeat": make_way("i1", "lookup", ""),
-        "key at its home": make_way("i1", "rewrite", prefix + "home"),
-        "key relayed": make_way("i3", "rewrite", prefix + "relayed"),
-        "invented key": make_way("i1", "rewrite", "invented"),
+        "no key, may repeat": make_call("i1", "lookup", ""),
+        "key at its home": make_call("i1", "rewrite", prefix + "home"),
+        "key relayed": make_call("i3", "rewrite", prefix + "relayed"),
+        "invented key": make_call("i1", "rewrite", "invented"),
     }
 
 
@@ -77,12 +77,12 @@
 
 async def _measure_calls(seed: int) -> list[dict]:
     async with start_fleet(_make_plan()) as fleet:
-        ways = await _make_ways(fleet, seed)
-        times: dict[str, list[float]] = {name: [] for name in ways}
-        failed = dict.fromkeys(ways, 0)
-        writes = dict.fromkeys(ways, 0)
+        calls = await _make_calls(fleet, seed)
+        times: dict[str, list[float]] = {name: [] for name in calls}
+        failed = dict.fromkeys(calls, 0)
+        writes = dict.fromkeys(calls, 0)
         for number in range(CALLS):
-            for name, call in ways.items():
+            for name, call in calls.items():
                 before = await _read_writes(fleet)
                 started = time.perf_counter()
                 failed[name] += not await call(number)
@@ -160,5 +160,5 @@
 
 
 def measure(*, seed: int) -> list[dict]:
-    """Return a row for each way of calling, and what the tables and links carry."""
+    """Return a row for each variant of calls, and the rows of bytes and memory."""
     return asyncio.run(_measure(seed))
--- a/packages/standins/fulmarward_standins/bench/prefixes.py
+++ b/packages/standins/fulmarward_standins/bench/prefixes.py
@@ -1,16 +1,16 @@
-"""Splitting a skewed prefix index among instances: two ways at equal bytes a second.
-
-One is the key-space bisection in proportion to load of Aberer, Datta, Hauswirth and
-Schmidt, "Indexing data-oriented overlay networks" (VLDB 2005): the key space, kept in
-order, is halved again and again, and each half gets instances in proportion to its
-load; several instances left with one range are its replicas. The other is plain
-hashing of whole prefixes, which may spend the same bytes on copies of its hottest keys.
-
-`busiest` is the load of the busiest instance as a multiple of the mean. Bytes are those
-of cache events, which go to each copy of a key, and those that tell loads: bisection
-tells each range's load to log2(n) neighbours each second, for the halves to stay in
-proportion; hashing may spend as many, half of them to tell which keys are hot and half
-on events for their copies.
+"""Two partitionings of a skewed prefix index over instances, at equal bytes per second.
+
+The first is the load-proportional key-space bisection of Aberer, Datta, Hauswirth and
+Schmidt, "Indexing data-oriented overlay networks" (VLDB 2005): the ordered key space is
+halved recursively, and each half gets instances in proportion to its load. Instances
+that end up with the same range are replicas. The second is plain hashing of whole
+prefixes, which may spend the same bytes on replicas of its hottest keys.
+
+`busiest` is the load of the busiest instance as a multiple of the mean. Bytes include
+cache events, which go to each copy of a key, and load reports. With bisection, each
+range reports its load to log2(n) neighbours every second, which keeps the halves in
+proportion. Hashing may spend the same bytes: half on reports of hot keys and half on
+events for their copies.
 """
 
 import heapq
@@ -20,32 +20,32 @@
 
 INSTANCES = 16
 
-#: Prefixes, the words that they share, and the skew of their use.
+#: Number of prefixes and of their roots, and Zipf exponents of their use.
 PREFIXES = 2_000
 ROOTS = 40
 SKEWS = (0.6, 1.0, 1.4)
 
-#: Cache events a second of one prefix, and bytes of one event.
+#: Cache events per second and prefix, and bytes per event.
 EVENTS_PER_S = 0.05
 EVENT_BYTES = 60
 
-#: Bytes a second that tell the ranges' loads: 20 bytes to 4 neighbours of each.
-TELLING_BYTES_PER_S = 20 * 4 * INSTANCES
+#: Load reports of the ranges, in bytes per second: 20 bytes to 4 neighbours each.
+LOAD_REPORT_BYTES_PER_S = 20 * 4 * INSTANCES
 
-#: Halvings after which a range is left whole.
-MOST_HALVINGS = 64
+#: Maximum recursion depth of the bisection.
+MAX_HALVINGS = 64
 
-#: A key's place in [0, 1), its load, and its name.
+#: Position of a key in [0, 1), its load, and its number.
 Key = tuple[float, float, int]
 
 
 def _make_keys(skew: float, generator: random.Random) -> list[Key]:
-    """Return prefixes, most of them below few roots, with Zipf loads."""
+    """Return prefixes with Zipf loads, most of them below a few roots."""
     keys = []
     for number in range(PREFIXES):
         root = min(int(generator.expovariate(0.3)), ROOTS - 1)
-        place = (root + generator.random()) / ROOTS
-        keys.append((place, 1 / (number + 1) ** skew, number))
+        position = (root + generator.random()) / ROOTS
+        keys.append((position, 1 / (number + 1) ** skew, number))
     return sorted(keys)
 
 
@@ -53,7 +53,7 @@
     keys: list[Key], low: float, high: float, instances: list[int], depth: int
 ) -> dict[int, list[int]]:
     """Return the instances that hold each key."""
-    if len(instances) == 1 or len(keys) <= 1 or depth == MOST_HALVINGS:
+    if len(instances) == 1 or len(keys) <= 1 or depth == MAX_HALVINGS:
         return {number: instances for _, _, number in keys}
     middle = (low + high) / 2
     left = [key for key in keys if key[0] < middle]
@@ -61,40 +61,40 @@
     if not left or not right:
         bounds = (middle, high) if not left else (low, middle)
         return _bisect(keys, *bounds, instances, depth + 1)
-    part = sum(key[1] for key in left) / sum(key[1] for key in keys)
-    share = min(max(1, round(part * len(instances))), len(instances) - 1)
-    return _bisect(left, low, middle, instances[:share], depth + 1) | _bisect(
-        right, middle, high, instances[share:], depth + 1
+    load_share = sum(key[1] for key in left) / sum(key[1] for key in keys)
+    left_count = min(max(1, round(load_share * len(instances))), len(instances) - 1)
+    return _bisect(left, low, middle, instances[:left_count], depth + 1) | _bisect(
+        right, middle, high, instances[left_count:], depth + 1
     )
 
 
-def _hash(keys: list[Key], copies: int) -> dict[int, list[int]]:
-    """Return the instances of each key by rendezvous hashing, hot keys on more."""
-    held = {number: 1 for _, _, number in keys}
+def _assign_by_hash(keys: list[Key], copies: int) -> dict[int, list[int]]:
+    """Return the instances of each key by rendezvous hashing, more for hot keys."""
+    counts = {number: 1 for _, _, number in keys}
     hottest = [(-load, load, number) for _, load, number in keys]
     heapq.heapify(hottest)
     for _ in range(max(0, copies - len(keys))):
         _, load, number = heapq.heappop(hottest)
-        held[number] = min(INSTANCES, held[number] + 1)
-        is_everywhere = held[number] == INSTANCES
-        rank = 0.0 if is_everywhere else -load / held[number]
+        counts[number] = min(INSTANCES, counts[number] + 1)
+        is_everywhere = counts[number] == INSTANCES
+        rank = 0.0 if is_everywhere else -load / counts[number]
         heapq.heappush(hottest, (rank, load, number))
-    return {number: _rank(number)[:count] for number, count in held.items()}
+    return {number: _rank_instances(number)[:count] for number, count in counts.items()}
 
 
-def _rank(number: int) -> list[int]:
+def _rank_instances(number: int) -> list[int]:
     return sorted(
         range(INSTANCES),
         key=lambda instance: xxhash.xxh64_intdigest(f"{number}/{instance}".encode()),
     )
 
 
-def _measure_way(
-    way: str,
+def _measure_method(
+    method: str,
     skew: float,
     keys: list[Key],
     holders: dict[int, list[int]],
-    telling: float,
+    report_bytes_per_s: float,
 ) -> dict[str, object]:
     loads = [0.0] * INSTANCES
     for _, load, number in keys:
@@ -104,28 +104,30 @@
     mean = sum(loads) / INSTANCES
     return {
         "skew": skew,
-        "way": way,
+        "way": method,
         "busiest": round(max(loads) / mean, 3),
         "idlest": round(min(loads) / mean, 3),
         "copies": copies,
-        "bytes_per_s": round(copies * EVENTS_PER_S * EVENT_BYTES + telling),
+        "bytes_per_s": round(copies * EVENTS_PER_S * EVENT_BYTES + report_bytes_per_s),
     }
 
 
 def measure(*, seed: int) -> list[dict]:
-    """Return a row for each skew and way."""
+    """Return a row for each skew and method."""
     rows = []
     for skew in SKEWS:
         keys = _make_keys(skew, random.Random(f"{seed} {skew}"))
         bisected = _bisect(keys, 0.0, 1.0, list(range(INSTANCES)), 0)
         copies = sum(len(found) for found in bisected.values())
-        extra = TELLING_BYTES_PER_S / 2 / (EVENTS_PER_S * EVENT_BYTES)
-        hot = _hash(keys, copies + round(extra))
-        ways = {
-            "bisection": (bisected, TELLING_BYTES_PER_S),
-            "hashing, equal bytes": (hot, TELLING_BYTES_PER_S / 2),
-            "hashing, one copy": (_hash(keys, len(keys)), 0.0),
+        extra = LOAD_REPORT_BYTES_PER_S / 2 / (EVENTS_PER_S * EVENT_BYTES)
+        hot = _assign_by_hash(keys, copies + round(extra))
+        methods = {
+            "bisection": (bisected, LOAD_REPORT_BYTES_PER_S),
+            "hashing, equal bytes": (hot, LOAD_REPORT_BYTES_PER_S / 2),
+            "hashing, one copy": (_assign_by_hash(keys, len(keys)), 0.0),
         }
-        for way, (holders, telling) in ways.items():
-            rows.append(_measure_way(way, skew, keys, holders, telling))
+        for method, (holders, report_bytes_per_s) in methods.items():
+            rows.append(
+                _measure_method(method, skew, keys, holders, report_bytes_per_s)
+            )
     return rows
--- a/packages/standins/fulmarward_standins/bench/recovery.py
+++ b/packages/standins/fulmarward_standins/bench/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery: from a loss to the next token of the callers that were hit by it.
+"""Recovery time: from a loss to the next token of each affected caller.
 
-Callers stream, and go on at another instance from their last event when they are
-cut. Each row is one kind of loss, several fleets long.
+Callers stream; when cut, they resume at another instance after their last event. Each
+row covers one kind of loss in several fleets.
 """
 
 import asyncio
@@ -26,42 +26,41 @@
 
 DATA_CENTRES = ("lx-alcantara", "lx-oriente", "lx-carnaxide")
 
-#: Callers in a fleet, and the tokens of each answer.
+#: Callers per fleet, and tokens per answer.
 CALLERS, TOKENS = 36, 200
 
-#: Time between two tokens of a stream at the engine, in milliseconds.
+#: Milliseconds between two tokens of a stream at the engine.
 TOKEN_MS = 25
 
-#: A pause between two tokens that counts as a silence, in seconds.
-SILENCE_S = 4 * TOKEN_MS / 1000
+#: Seconds without a token after which a stream counts as stalled.
+STALL_S = 4 * TOKEN_MS / 1000
 
-#: Fleets for each kind of loss.
+#: Fleets per kind of loss.
 FLEETS = 3
 
-#: Times that a caller tries another instance.
-MOST_TRIES = 4
+#: Maximum number of tries of a caller.
+MAX_TRIES = 4
 
 
 @dataclass(kw_only=True)
 class _Caller:
-    """One caller and what came to it."""
+    """A caller and the results of its request."""
 
-    #: Its prompt.
     prompt: str
-    #: The instances it tries, in order.
+    #: Instances to try, in order.
     instances: list[str]
-    #: Id of the request, and the last event's id.
+    #: Ids of the request and of the last event.
     request: str = ""
     last_event_id: str = ""
-    #: When each token came, seconds on the steady clock.
+    #: Arrival times of the tokens, in seconds of the monotonic clock.
     times: list[float] = field(default_factory=list)
-    #: `whole`, or what the last answer said of running: `not_run`, `failed`, ...
+    #: `whole`, or the `ran` field of the last error: `not_run`, `failed`, ...
     outcome: str = "unknown"
 
 
 async def _follow(fleet: Fleet, caller: _Caller) -> None:
-    """Stream until the answer is whole, going on at the next instance when cut."""
-    for number in range(MOST_TRIES):
+    """Stream until the answer is complete, resuming at the next instance when cut."""
+    for number in range(MAX_TRIES):
         instance = caller.instances[number % len(caller.instances)]
         try:
             await _stream_once(fleet, caller, instance)
@@ -91,15 +90,15 @@
 
 
 def _find_recovery(caller: _Caller, lost_at: float) -> float | None:
-    """Return seconds from the loss to the token that ended the silence it caused.
+    """Return the seconds from the loss to the token that ended the stall it caused.
 
-    Tokens that were under way when it came are not recovery, so the first silence of
-    several token intervals counts; without any the first token after the loss does.
+    Tokens in flight at the time of the loss are no sign of recovery, so the end of the
+    first stall counts. Without a stall, the first token after the loss counts.
     """
     pairs = list(zip(caller.times, caller.times[1:], strict=False))
     after = [(start, end) for start, end in pairs if end > lost_at]
-    silences = [end for start, end in after if end - start > SILENCE_S]
-    found = silences or [end for _, end in after]
+    stall_ends = [end for start, end in after if end - start > STALL_S]
+    found = stall_ends or [end for _, end in after]
     return found[0] - lost_at if found else None
 
 
@@ -121,7 +120,7 @@
     )
 
 
-#: What is lost in each kind, and how it is lost.
+#: Processes lost in each kind of loss, and the signal sent to them.
 _LOSSES: dict[str, tuple[tuple[str, ...], signal.Signals]] = {
     "target killed": (("e0",), signal.SIGKILL),
     "target frozen": (("e0",), signal.SIGSTOP),
@@ -131,15 +130,15 @@
 
 
 async def _run_fleet(kind: str, generator: random.Random) -> tuple[list[_Caller], dict]:
-    """Return the callers that were hit and their recovery times."""
+    """Return the affected callers, their recovery times and the ledger faults."""
     async with start_fleet(_make_plan()) as fleet:
         callers = [_make_caller(number, generator) for number in range(CALLERS)]
         tasks = [asyncio.create_task(_follow(fleet, caller)) for caller in callers]
 
-        async def have_begun() -> bool:
+        async def all_streaming() -> bool:
             return all(len(caller.times) > 10 for caller in callers)
 
-        await wait_until(have_begun, "all callers to be served")
+        await wait_until(all_streaming, "all callers to be served")
         lost, how = _LOSSES[kind]
         ledgers = await fleet.read_ledgers_by_target()
         held = {item["request"] for name in lost for item in ledgers.get(name, ())}
--- a/packages/standins/fulmarward_standins/bench/relay.py
+++ b/packages/standins/fulmarward_standins/bench/relay.py
@@ -1,4 +1,4 @@
-"""Relaying tokens through one instance, as a ratio to going straight to the engine."""
+"""Cost of relaying tokens through one instance, relative to a direct connection."""
 
 import asyncio
 import time
@@ -16,22 +16,22 @@
     start_fleet,
 )
 
-#: Open streams in each row.
+#: Concurrent streams, one row each.
 STREAMS = (1, 100, 500)
 
-#: Tokens of each stream.
+#: Tokens per stream.
 TOKENS = 100
 
-#: Time between two tokens of a stream at the engine, in milliseconds.
+#: Milliseconds between two tokens of a stream at the engine.
 TOKEN_MS = 20
 
-#: Engines that share the load, so that none of them is what bounds the run.
+#: Engines that share the load, so that no engine is the bottleneck.
 ENGINES = 4
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Measured:
-    """Times of one stream in seconds from its request."""
+class _StreamTimes:
+    """Seconds from a request to its first token and to its end."""
 
     first_s: float
     whole_s: float
@@ -48,16 +48,16 @@
     )
 
 
-async def _read_all(response: aiohttp.ClientResponse, started: float) -> _Measured:
+async def _read_all(response: aiohttp.ClientResponse, started: float) -> _StreamTimes:
     first_s = 0.0
     async for chunk in response.content.iter_any():
         is_token = b'"content":"' in chunk.replace(b'"content":""', b"")
         if not first_s and (is_token or b'"n": 1' in chunk):
             first_s = time.perf_counter() - started
-    return _Measured(first_s=first_s, whole_s=time.perf_counter() - started)
+    return _StreamTimes(first_s=first_s, whole_s=time.perf_counter() - started)
 
 
-async def _stream_through(fleet: Fleet, number: int) -> _Measured:
+async def _stream_relayed(fleet: Fleet, number: int) -> _StreamTimes:
     body = {
         "model": "summary",
         "messages": [{"role": "user", "content": f"{number} [{TOKENS} tokens]"}],
@@ -71,7 +71,7 @@
         return await _read_all(response, started)
 
 
-async def _stream_direct(fleet: Fleet, number: int) -> _Measured:
+async def _stream_direct(fleet: Fleet, number: int) -> _StreamTimes:
     target = fleet.plan.targets[number % ENGINES]
     order = {
         "request": f"direct-{number}-{time.monotonic_ns()}",
@@ -88,14 +88,14 @@
         return await _read_all(response, started)
 
 
-def _pick(values: list[float], share: float) -> float:
+def _find_percentile(values: list[float], share: float) -> float:
     ordered = sorted(values)
     return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
 
-async def _run_streams(open_one, fleet: Fleet, count: int) -> tuple[list, float]:  # noqa: ANN001
+async def _run_streams(open_stream, fleet: Fleet, count: int) -> tuple[list, float]:  # noqa: ANN001
     started = time.perf_counter()
-    streams = [open_one(fleet, number) for number in range(count)]
+    streams = [open_stream(fleet, number) for number in range(count)]
     measured = await asyncio.gather(*streams)
     return measured, time.perf_counter() - started
 
@@ -104,22 +104,26 @@
     direct, direct_s = await _run_streams(_stream_direct, fleet, count)
     pid = fleet.processes["i1"].child.pid
     before = read_usage(pid)
-    running = asyncio.create_task(_run_streams(_stream_through, fleet, count))
+    running = asyncio.create_task(_run_streams(_stream_relayed, fleet, count))
     await asyncio.sleep(TOKENS * TOKEN_MS / 2000)
     halfway = read_usage(pid)
-    through, through_s = await running
+    relayed, relayed_s = await running
     after = read_usage(pid)
     tokens = count * TOKENS
     cpu_us = (after.cpu_s - before.cpu_s) / tokens * 1e6
-    firsts = [item.first_s for item in through]
+    firsts = [item.first_s for item in relayed]
     direct_firsts = [item.first_s for item in direct]
     return {
         "streams": count,
-        "tokens/s": round(tokens / through_s),
-        "tokens/s ratio": round(direct_s / through_s, 3),
-        "first p50 ms": round(_pick(firsts, 0.5) * 1000, 1),
-        "first p50 ratio": round(_pick(firsts, 0.5) / _pick(direct_firsts, 0.5), 2),
-        "first p99 ratio": round(_pick(firsts, 0.99) / _pick(direct_firsts, 0.99), 2),
+        "tokens/s": round(tokens / relayed_s),
+        "tokens/s ratio": round(direct_s / relayed_s, 3),
+        "first p50 ms": round(_find_percentile(firsts, 0.5) * 1000, 1),
+        "first p50 ratio": round(
+            _find_percentile(firsts, 0.5) / _find_percentile(direct_firsts, 0.5), 2
+        ),
+        "first p99 ratio": round(
+            _find_percentile(firsts, 0.99) / _find_percentile(direct_firsts, 0.99), 2
+        ),
         "cpu us/token": round(cpu_us, 1),
         "tokens/s a core": round(1e6 / cpu_us) if cpu_us else 0,
         "KB/open stream": round(
@@ -133,10 +137,10 @@
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
             fleet.session = session
-            await _run_streams(_stream_through, fleet, 20)
+            await _run_streams(_stream_relayed, fleet, 20)
             return [await _measure_row(fleet, count) for count in STREAMS]
 
 
 def measure(*, seed: int) -> list[dict]:
-    """Return a row for each number of open streams; the load has no chance in it."""
+    """Return a row for each number of streams; the load is deterministic."""
     return asyncio.run(_measure())
