--- a/packages/standins/fulmarward_standins/demand/_engines.py
+++ b/packages/standins/fulmarward_standins/demand/_engines.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from fulmarward_standins.demand._simulation import Simulation
 from fulmarward_standins.demand._types import Call, Scenario
-from fulmarward_standins.demand._world import Simulation
 
 #: Maximum queue length of an engine; further streams are refused.
 MAX_WAITING = 64
--- a/packages/standins/fulmarward_standins/demand/_entries.py
+++ b/packages/standins/fulmarward_standins/demand/_instances.py
@@ -47,8 +47,8 @@
     cancel_stream,
     start_stream,
 )
+from fulmarward_standins.demand._simulation import Simulation, finish_call, refuse_call
 from fulmarward_standins.demand._types import Call, Scenario
-from fulmarward_standins.demand._world import Simulation, finish_call, refuse_call
 
 #: Maximum number of tries of one request.
 MAX_TRIES = 3
--- a/packages/standins/fulmarward_standins/demand/_policies.py
+++ b/packages/standins/fulmarward_standins/demand/_policies.py
@@ -3,7 +3,7 @@
 import random
 
 from fulmarward_core.routing import TargetView
-from fulmarward_standins.demand._entries import SimulatedInstance, choose_as_instance
+from fulmarward_standins.demand._instances import SimulatedInstance, choose_as_instance
 from fulmarward_standins.demand._types import Call
 
 #: Penalty for another data centre in the first version, in requests.
--- a/packages/standins/fulmarward_standins/demand/_run.py
+++ b/packages/standins/fulmarward_standins/demand/_run.py
@@ -2,7 +2,7 @@
 
 from fulmarward_standins.demand._calls import make_calls
 from fulmarward_standins.demand._engines import Engine, fail_all
-from fulmarward_standins.demand._entries import (
+from fulmarward_standins.demand._instances import (
     SimulatedInstance,
     fill_buckets,
     make_view,
@@ -12,8 +12,8 @@
     submit_call,
 )
 from fulmarward_standins.demand._policies import POLICIES, make_generator
+from fulmarward_standins.demand._simulation import Simulation, run_simulation
 from fulmarward_standins.demand._types import Fault, RunRecord, Scenario
-from fulmarward_standins.demand._world import Simulation, run_simulation
 
 DATA_CENTRES = ("palermo-a", "catania-b", "messina-c")
 
