--- a/packages/standins/fulmarward_standins/bench/_control_tables.py
+++ b/packages/standins/fulmarward_standins/bench/_control_tables.py
@@ -84,7 +84,7 @@
             _send(fleet, neighbour, name)
 
 
-def _spread_until_equal(
+def _spread_changes(
     fleet: _Fleet, changes: list[Member], generator: random.Random
 ) -> dict:
     """Report each change to one member, and run rounds until no rumour is left."""
@@ -118,7 +118,7 @@
     )
     _run_round(fleet, generator)
     idle_bytes = fleet.bytes / fleet.heartbeats
-    one = _spread_until_equal(
+    one = _spread_changes(
         fleet,
         [replace(fleet.tables[own].members["i007"], state=MemberState.LEAVING)],
         generator,
@@ -130,7 +130,7 @@
         for name, member in fleet.tables[own].members.items()
         if member.data_centre == "dc-03"
     ]
-    burst = _spread_until_equal(fleet, lost, generator)
+    burst = _spread_changes(fleet, lost, generator)
     burst_extra = burst["bytes"] - idle_bytes * burst["heartbeats"]
     return [
         {
--- a/packages/standins/fulmarward_standins/bench/keys.py
+++ b/packages/standins/fulmarward_standins/bench/keys.py
@@ -40,17 +40,17 @@
 )
 
 #: Makes the call with a number and returns whether it succeeded.
-TimedCall = Callable[[int], Awaitable[bool]]
+NumberedCall = Callable[[int], Awaitable[bool]]
 
 
 def _make_plan() -> FleetPlan:
     return FleetPlan(targets=[TargetPlan(name="e1", stand_in={"token_ms": 1})])
 
 
-async def _make_calls(fleet: Fleet, seed: int) -> dict[str, TimedCall]:
+async def _make_calls(fleet: Fleet, seed: int) -> dict[str, NumberedCall]:
     prefix = (await fleet.call("i1", "/discovery")).body["idempotency_key_prefix"]
 
-    def make_call(instance: str, pipeline: str, key_prefix: str) -> TimedCall:
+    def make_call(instance: str, pipeline: str, key_prefix: str) -> NumberedCall:
         async def call(number: int) -> bool:
             body = {"model": pipeline, "prompt": f"bench {seed} [1 tokens]"}
             headers = {"Idempotency-Key": f"{key_prefix}{number}"} if key_prefix else {}
--- a/packages/standins/fulmarward_standins/demand/_instances.py
+++ b/packages/standins/fulmarward_standins/demand/_instances.py
@@ -324,7 +324,7 @@
 
 
 def rebalance_shares(instances: list[SimulatedInstance]) -> None:
-    """Split the sold shares by the demand at each instance up to the last second."""
+    """Split the sold shares by the demand at each instance, one second late."""
     for index, instance in enumerate(instances):
         for team in instance.simulation.scenario.teams:
             others = {
--- a/packages/standins/fulmarward_standins/demand/_policies.py
+++ b/packages/standins/fulmarward_standins/demand/_policies.py
@@ -54,7 +54,7 @@
 def _choose_first_version(
     instance: SimulatedInstance, call: Call, tried: frozenset[str]
 ) -> TargetView | None:
-    """Choose as the first version did: best of two, avoiding targets that failed."""
+    """Choose as the first version did: best of two, avoiding failed targets for 1 s."""
     now = instance.simulation.now
     views = [view for view in instance.views.values() if view.avoided_until <= now]
     drawn = instance.simulation.generator.sample(views, min(2, len(views)))
--- a/packages/standins/fulmarward_standins/demand/_simulation.py
+++ b/packages/standins/fulmarward_standins/demand/_simulation.py
@@ -33,7 +33,7 @@
         heapq.heappush(self.actions, (when, next(self.sequence), action))
 
     def schedule_every(self, period_s: float, action: Callable[[], None]) -> None:
-        """Run `action` now and every `period_s`, until 60 s after the last arrival."""
+        """Run `action` now and every `period_s`, until 60 s after `duration_s`."""
 
         def repeat() -> None:
             action()
