--- a/packages/client/fulmarctl/_settings.py
+++ b/packages/client/fulmarctl/_settings.py
@@ -15,7 +15,7 @@
     read_list_of,
     read_optional,
     read_record,
-    read_text,
+    read_string,
 )
 from fulmarward_core.results import ResultCode, make_failure
 
@@ -27,7 +27,7 @@
     authority_file: str | None
 
 
-_PATH = read_text(expected="the path of a file")
+_PATH = read_string(expected="the path of a file")
 _READ_SETTINGS = read_record(
     _ClientSettings,
     {
--- a/packages/client/fulmarctl/tests/test_sessions.py
+++ b/packages/client/fulmarctl/tests/test_sessions.py
@@ -64,7 +64,7 @@
 
 class OperatorSessionTest(unittest.IsolatedAsyncioTestCase):
     async def test_session_of_an_operator(self):
-        async with start_fleet(FleetPlan(is_applied=False)) as fleet:
+        async with start_fleet(FleetPlan(applies_declaration=False)) as fleet:
             terminal = _Terminal(fleet)
             first = make_declaration(fleet.plan.targets)
             terminal.write("first.json", first)
--- a/packages/core/fulmarward_core/admission/_types.py
+++ b/packages/core/fulmarward_core/admission/_types.py
@@ -108,7 +108,7 @@
 
 
 @dataclass(kw_only=True)
-class Outputs:
+class OutputLengths:
     """Statistics on the answer lengths of a pipeline."""
 
     #: Estimate of the 90th percentile, in tokens; 0 before the first answer.
--- a/packages/core/fulmarward_core/admission/decisions/_buckets.py
+++ b/packages/core/fulmarward_core/admission/decisions/_buckets.py
@@ -25,7 +25,9 @@
 ROUNDING_TOLERANCE = 0.01
 
 
-def split_share(*, own: float, others: Mapping[str, float], members: int) -> float:
+def compute_share_fraction(
+    *, own: float, others: Mapping[str, float], members: int
+) -> float:
     """Return the fraction of a team's share that this instance may use.
 
     `own` and `others` are the tokens per second requested at this instance and, by
@@ -42,7 +44,7 @@
     return EVEN_FRACTION / members + (1 - EVEN_FRACTION) * own / total
 
 
-def split_burst(burst_tokens: float, part: float) -> float:
+def compute_bucket_depth(burst_tokens: float, part: float) -> float:
     """Return the bucket depth at an instance that has `part` of the share."""
     return burst_tokens * min(1.0, BURST_FACTOR * part)
 
--- a/packages/core/fulmarward_core/admission/decisions/_demand.py
+++ b/packages/core/fulmarward_core/admission/decisions/_demand.py
@@ -71,7 +71,7 @@
     )
 
 
-def choose_pause(members: int) -> int:
+def choose_gossip_interval(members: int) -> int:
     """Return the interval between messages, in updates of the shares."""
     return SMALL_FLEET_INTERVAL if members <= MAX_SMALL_FLEET else LARGE_FLEET_INTERVAL
 
@@ -108,7 +108,7 @@
     return ROW_BYTES + TEAM_BYTES * len(row.teams)
 
 
-def forget_rows(table: DemandTable, *, members: frozenset[str], now: float) -> None:
+def prune_rows(table: DemandTable, *, members: frozenset[str], now: float) -> None:
     """Remove the rows of instances that left, and rows that expired."""
     for member in list(table.rows):
         if member not in members or now - table.received_at[member] > MAX_ROW_AGE_S:
@@ -117,7 +117,7 @@
             table.sent.pop(member, None)
 
 
-def list_others(table: DemandTable, team: str) -> dict[str, float]:
+def list_other_demand(table: DemandTable, team: str) -> dict[str, float]:
     """Return the known demand of a team at the other instances, by instance."""
     return {
         member: next(
--- a/packages/core/fulmarward_core/admission/decisions/_estimates.py
+++ b/packages/core/fulmarward_core/admission/decisions/_estimates.py
@@ -7,7 +7,7 @@
 from fulmarward_core.admission._types import (
     Bucket,
     FairQueue,
-    Outputs,
+    OutputLengths,
     Refusal,
     Ticket,
 )
@@ -78,13 +78,13 @@
 OUTPUT_DECAY = 0.98
 
 
-def expect_output(outputs: Outputs, bound: int) -> float:
+def estimate_output(outputs: OutputLengths, bound: int) -> float:
     """Return the expected output tokens of a request that allows up to `bound`."""
     is_known = outputs.samples >= MIN_OUTPUT_SAMPLES
     return min(float(bound), outputs.tokens if is_known else DEFAULT_OUTPUT_TOKENS)
 
 
-def note_output(outputs: Outputs, tokens: int) -> None:
+def record_output(outputs: OutputLengths, tokens: int) -> None:
     """Update the estimated 90th percentile with the length of an answer."""
     outputs.samples += 1
     if not outputs.tokens:
@@ -95,7 +95,7 @@
     outputs.tokens = max(1.0, outputs.tokens)
 
 
-def doubt_output(outputs: Outputs) -> None:
+def decay_output_estimate(outputs: OutputLengths) -> None:
     """Reduce the estimated length because a request was refused on it."""
     outputs.tokens *= OUTPUT_DECAY
 
--- a/packages/core/fulmarward_core/admission/decisions/_queue.py
+++ b/packages/core/fulmarward_core/admission/decisions/_queue.py
@@ -148,7 +148,7 @@
     return True
 
 
-def drop_late(queue: FairQueue, *, now: float) -> list[Ticket]:
+def drop_expired(queue: FairQueue, *, now: float) -> list[Ticket]:
     """Remove and return tickets that waited too long or cannot meet the deadline."""
     late = [
         ticket
--- a/packages/core/fulmarward_core/admission/tests/test_buckets.py
+++ b/packages/core/fulmarward_core/admission/tests/test_buckets.py
@@ -3,10 +3,10 @@
 from hypothesis import given, strategies as st
 
 from fulmarward_core.admission import (
+    compute_share_fraction,
     make_bucket,
     promise_tokens,
     settle_tokens,
-    split_share,
     take_tokens,
 )
 
@@ -32,7 +32,7 @@
     @given(st.lists(st.floats(0, 1000), min_size=1, max_size=12))
     def test_parts_of_a_share_add_up_to_the_share(self, demands):
         parts = [
-            split_share(
+            compute_share_fraction(
                 own=own,
                 others={str(i): d for i, d in enumerate(demands) if i != place},
                 members=len(demands),
@@ -43,7 +43,7 @@
 
     @given(st.integers(1, 20), st.integers(1, 12))
     def test_unknown_demand_counts_with_the_mean(self, own, members):
-        part = split_share(own=own, others={}, members=members)
+        part = compute_share_fraction(own=own, others={}, members=members)
         self.assertAlmostEqual(part, 1 / members)
 
     @given(st.lists(st.integers(1, 100), min_size=1, max_size=30))
--- a/packages/core/fulmarward_core/admission/tests/test_demand.py
+++ b/packages/core/fulmarward_core/admission/tests/test_demand.py
@@ -5,12 +5,12 @@
 from fulmarward_core.admission import (
     DemandTable,
     average_demand,
-    choose_pause,
+    choose_gossip_interval,
     count_demand,
-    forget_rows,
-    list_others,
+    list_other_demand,
     make_own_row,
     merge_row,
+    prune_rows,
     select_rows,
 )
 from fulmarward_core.admission.decisions._demand import MAX_MESSAGE_BYTES, _count_bytes
@@ -30,7 +30,7 @@
             rows.append(_make_row(sender, "i1"))
         for place in order:
             merge_row(receiver, rows[place], now=1.0)
-        self.assertEqual(list_others(receiver, "folha"), {"i1": 7.0})
+        self.assertEqual(list_other_demand(receiver, "folha"), {"i1": 7.0})
 
     def test_first_row_after_a_restart_replaces_the_old_one(self):
         table = DemandTable()
@@ -56,7 +56,7 @@
         cases = [(1, 1), (9, 1), (16, 1), (17, 3), (330, 3)]
         for members, pause in cases:
             with self.subTest(members=members):
-                self.assertEqual(choose_pause(members), pause)
+                self.assertEqual(choose_gossip_interval(members), pause)
 
     def test_averages_follow_demand_and_decay(self):
         table = DemandTable()
@@ -72,5 +72,5 @@
         table = DemandTable()
         for member, received_at in (("gone", 400.0), ("silent", 0.0), ("there", 400.0)):
             merge_row(table, _make_row(DemandTable(), member), now=received_at)
-        forget_rows(table, members=frozenset({"silent", "there"}), now=401.0)
+        prune_rows(table, members=frozenset({"silent", "there"}), now=401.0)
         self.assertEqual(list(table.rows), ["there"])
--- a/packages/core/fulmarward_core/admission/tests/test_queue.py
+++ b/packages/core/fulmarward_core/admission/tests/test_queue.py
@@ -5,7 +5,7 @@
 from fulmarward_core.admission import (
     FairQueue,
     Ticket,
-    drop_late,
+    drop_expired,
     estimate_work_ahead_s,
     pop_next,
     pop_ticket,
@@ -48,7 +48,7 @@
     def test_every_ticket_leaves_once_and_no_state_remains(self, items):
         queue = FairQueue()
         tickets = _fill(queue, items)
-        removed = {ticket.request for ticket in drop_late(queue, now=10.0)}
+        removed = {ticket.request for ticket in drop_expired(queue, now=10.0)}
         for ticket in tickets[::5]:
             if remove_ticket(queue, ticket):
                 removed.add(ticket.request)
--- a/packages/core/fulmarward_core/attempts/__init__.py
+++ b/packages/core/fulmarward_core/attempts/__init__.py
@@ -2,9 +2,9 @@
 
 from fulmarward_core.attempts.decisions import (
     RequestTally,
-    choose_end,
+    choose_result_code,
     may_retry,
     may_run_again,
 )
 
-__all__ = ["RequestTally", "choose_end", "may_retry", "may_run_again"]
+__all__ = ["RequestTally", "choose_result_code", "may_retry", "may_run_again"]
--- a/packages/core/fulmarward_core/attempts/decisions.py
+++ b/packages/core/fulmarward_core/attempts/decisions.py
@@ -41,7 +41,7 @@
     return has_runs_left and now < tally.deadline
 
 
-def choose_end(tally: RequestTally, *, now: float) -> ResultCode:
+def choose_result_code(tally: RequestTally, *, now: float) -> ResultCode:
     """Return the result code for a request that got no answer.
 
     `TARGET_REFUSED` is returned only if no attempt may have run, because the caller
--- a/packages/core/fulmarward_core/attempts/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/attempts/tests/test_decisions.py
@@ -4,7 +4,7 @@
 
 from fulmarward_core.attempts import (
     RequestTally,
-    choose_end,
+    choose_result_code,
     may_retry,
     may_run_again,
 )
@@ -99,9 +99,9 @@
         ]
         for name, tally, now, expected in cases:
             with self.subTest(name):
-                self.assertEqual(choose_end(tally, now=now), expected)
+                self.assertEqual(choose_result_code(tally, now=now), expected)
 
     @given(TALLIES, st.floats(0.0, 20.0))
     def test_target_refused_means_that_nothing_ran(self, tally, now):
-        if choose_end(tally, now=now) is ResultCode.TARGET_REFUSED:
+        if choose_result_code(tally, now=now) is ResultCode.TARGET_REFUSED:
             self.assertEqual(tally.runs, 0)
--- a/packages/core/fulmarward_core/catalogue/__init__.py
+++ b/packages/core/fulmarward_core/catalogue/__init__.py
@@ -2,7 +2,7 @@
 
 from fulmarward_core.catalogue._catalogue import (
     EXPIRY_AGE_S,
-    RETURN_DURATION_S,
+    RECOVERY_DURATION_S,
     KnownRow,
     TargetCatalogue,
 )
@@ -10,7 +10,7 @@
 
 __all__ = [
     "EXPIRY_AGE_S",
-    "RETURN_DURATION_S",
+    "RECOVERY_DURATION_S",
     "KnownRow",
     "TargetCatalogue",
     "find_confirmed_at",
--- a/packages/core/fulmarward_core/catalogue/_catalogue.py
+++ b/packages/core/fulmarward_core/catalogue/_catalogue.py
@@ -11,7 +11,7 @@
 
 #: Seconds after an outage of the store within which targets write their rows again if
 #: these expired during the outage.
-RETURN_DURATION_S = 1.9
+RECOVERY_DURATION_S = 1.9
 
 #: Seconds without a confirmation, by the store or a peer, after which rows may have
 #: expired although their targets are alive. Shorter than the time to live of a row.
@@ -73,7 +73,7 @@
         return self.version > 0
 
     @property
-    def stated_version(self) -> int:
+    def content_version(self) -> int:
         """The version since which no row's content has changed, up to `version`.
 
         A peer that knows all changes up to it knows as much as this catalogue. Rows
@@ -82,21 +82,25 @@
         """
         return min(self.version, max(self._known_from, self._last_changed))
 
-    def may_be_short(self, *, now: float) -> bool:
+    def may_be_incomplete(self, *, now: float) -> bool:
         """Return whether live targets may be missing because their rows expired.
 
-        That is the case during an outage of the store, for `RETURN_DURATION_S` after
+        That is the case during an outage of the store, for `RECOVERY_DURATION_S` after
         it, and for as long after the first read, when the store may just have
         recovered.
         """
         since = max(self._recovered_at, self._first_read_at)
-        return now - since < RETURN_DURATION_S or now - self.confirmed_at > EXPIRY_AGE_S
+        return (
+            now - since < RECOVERY_DURATION_S or now - self.confirmed_at > EXPIRY_AGE_S
+        )
 
-    def may_lack_leaving(self, *, now: float) -> bool:
+    def may_miss_leaving(self, *, now: float) -> bool:
         """Return whether targets may be leaving without this instance's knowledge."""
         return now - self.confirmed_at > STALE_AGE_S
 
-    def take_all(self, rows: Iterable[KnownRow], version: int, *, now: float) -> None:
+    def apply_full_read(
+        self, rows: Iterable[KnownRow], version: int, *, now: float
+    ) -> None:
         """Apply a full read of the table: rows that it lacks were removed."""
         if version < self.version:
             return
@@ -108,9 +112,9 @@
             for name in missing
             if self._rows[name].value is not None
         ]
-        self.take_changes([*rows, *removed], version, now=now)
+        self.apply_changes([*rows, *removed], version, now=now)
 
-    def take_changes(
+    def apply_changes(
         self,
         rows: Iterable[KnownRow],
         version: int,
@@ -134,12 +138,12 @@
             self._drop_tombstones(now)
         return changed
 
-    def confirm(self, stated_version: int, *, at: float) -> None:
+    def confirm(self, content_version: int, *, at: float) -> None:
         """Record that a peer knew of no change after `stated_version` until `at`.
 
         It also confirms this catalogue if all changes up to that version are known.
         """
-        if stated_version <= self.version:
+        if content_version <= self.version:
             self._note_confirmed(at)
 
     def _note_confirmed(self, at: float) -> None:
@@ -171,15 +175,15 @@
 
     def _may_return(self, now: float) -> bool:
         """Return whether a row removed now may have expired during an outage."""
-        return now - self._recovered_at < RETURN_DURATION_S
+        return now - self._recovered_at < RECOVERY_DURATION_S
 
     def list_targets(self, *, now: float) -> list[TargetRecord]:
         """Return the targets that may be alive, including leaving ones."""
         records = [row.record for row in self._rows.values() if row.record is not None]
         for name, (record, expired_at) in list(self._expired.items()):
             if (
-                now - self._recovered_at >= RETURN_DURATION_S
-                or now - expired_at >= RETURN_DURATION_S
+                now - self._recovered_at >= RECOVERY_DURATION_S
+                or now - expired_at >= RECOVERY_DURATION_S
             ):
                 del self._expired[name]
                 self.revision += 1
--- a/packages/core/fulmarward_core/catalogue/tests/test_catalogue.py
+++ b/packages/core/fulmarward_core/catalogue/tests/test_catalogue.py
@@ -3,7 +3,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from fulmarward_core.catalogue import RETURN_DURATION_S, KnownRow, TargetCatalogue
+from fulmarward_core.catalogue import RECOVERY_DURATION_S, KnownRow, TargetCatalogue
 from fulmarward_core.layers.tests.fleets import make_target
 
 
@@ -29,29 +29,29 @@
         ]
         in_order, out_of_order = TargetCatalogue(), TargetCatalogue()
         for row in rows:
-            in_order.take_changes([row], row.version, now=0.0)
+            in_order.apply_changes([row], row.version, now=0.0)
         shuffled = rows * 2
         random.Random(seed).shuffle(shuffled)
         for row in shuffled:
-            out_of_order.take_changes([row], 0, now=0.0)
+            out_of_order.apply_changes([row], 0, now=0.0)
         self.assertEqual(_list_names(in_order), _list_names(out_of_order))
 
     def test_row_without_a_usable_target_hides_only_itself(self):
         catalogue = TargetCatalogue()
         rows = [_make_row("a", 1), _make_row("b", 2, record=False)]
-        catalogue.take_all(rows, 2, now=0.0)
+        catalogue.apply_full_read(rows, 2, now=0.0)
         self.assertEqual(_list_names(catalogue), ["a"])
 
     def test_target_missing_from_a_full_read_is_removed(self):
         catalogue = TargetCatalogue()
-        catalogue.take_all([_make_row("a", 1), _make_row("b", 2)], 2, now=0.0)
-        catalogue.take_all([_make_row("a", 1)], 5, now=1.0)
+        catalogue.apply_full_read([_make_row("a", 1), _make_row("b", 2)], 2, now=0.0)
+        catalogue.apply_full_read([_make_row("a", 1)], 5, now=1.0)
         self.assertEqual(_list_names(catalogue, 1.0), ["a"])
 
     def test_older_full_read_is_ignored(self):
         catalogue = TargetCatalogue()
-        catalogue.take_all([_make_row("a", 9)], 9, now=0.0)
-        catalogue.take_all([], 5, now=1.0)
+        catalogue.apply_full_read([_make_row("a", 9)], 9, now=0.0)
+        catalogue.apply_full_read([], 5, now=1.0)
         self.assertEqual(_list_names(catalogue, 1.0), ["a"])
 
     def test_rows_that_expired_during_an_outage_of_the_store_stay_listed(self):
@@ -59,44 +59,46 @@
         # longer than the rows' time to live. All rows are gone then, though the targets
         # are alive and write them again within two seconds.
         catalogue = TargetCatalogue()
-        catalogue.take_all([_make_row("a", 1), _make_row("b", 2)], 2, now=10.0)
-        self.assertTrue(catalogue.may_be_short(now=13.0))
+        catalogue.apply_full_read([_make_row("a", 1), _make_row("b", 2)], 2, now=10.0)
+        self.assertTrue(catalogue.may_be_incomplete(now=13.0))
         removed = [_make_row("a", 3, value=None), _make_row("b", 4, value=None)]
-        catalogue.take_changes(removed, 4, now=15.1)
+        catalogue.apply_changes(removed, 4, now=15.1)
         self.assertEqual(_list_names(catalogue, 15.2), ["a", "b"])
-        self.assertTrue(catalogue.may_be_short(now=15.2))
-        catalogue.take_changes([_make_row("a", 5)], 5, now=16.0)
-        self.assertEqual(_list_names(catalogue, 15.1 + RETURN_DURATION_S + 0.1), ["a"])
+        self.assertTrue(catalogue.may_be_incomplete(now=15.2))
+        catalogue.apply_changes([_make_row("a", 5)], 5, now=16.0)
+        self.assertEqual(
+            _list_names(catalogue, 15.1 + RECOVERY_DURATION_S + 0.1), ["a"]
+        )
 
     def test_removal_reported_by_a_peer_with_a_store_applies_at_once(self):
         # The store rejects one instance's reads for a while, and a peer whose reads
         # succeed reports a removed target. The instance must not send more work there,
         # since the target serves for two more seconds only.
         catalogue = TargetCatalogue()
-        catalogue.take_all([_make_row("a", 1), _make_row("b", 2)], 2, now=10.0)
+        catalogue.apply_full_read([_make_row("a", 1), _make_row("b", 2)], 2, now=10.0)
         catalogue.confirm(2, at=11.5)
-        catalogue.take_changes([_make_row("a", 3, value=None)], 3, now=13.0)
+        catalogue.apply_changes([_make_row("a", 3, value=None)], 3, now=13.0)
         self.assertEqual(_list_names(catalogue, 13.0), ["b"])
 
     def test_removal_while_the_store_answers_applies_at_once(self):
         catalogue = TargetCatalogue()
-        catalogue.take_all([_make_row("a", 1)], 1, now=59.0)
-        catalogue.take_changes([_make_row("a", 2, value=None)], 2, now=60.0)
+        catalogue.apply_full_read([_make_row("a", 1)], 1, now=59.0)
+        catalogue.apply_changes([_make_row("a", 2, value=None)], 2, now=60.0)
         self.assertEqual(_list_names(catalogue, 60.0), [])
 
     def test_rewrite_with_equal_content_is_not_a_change(self):
         catalogue = TargetCatalogue()
-        catalogue.take_all([_make_row("a", 1)], 1, now=0.0)
+        catalogue.apply_full_read([_make_row("a", 1)], 1, now=0.0)
         rewritten = [_make_row("a", 2)]
-        self.assertEqual(catalogue.take_changes(rewritten, 2, now=1.0), [])
+        self.assertEqual(catalogue.apply_changes(rewritten, 2, now=1.0), [])
         self.assertEqual(catalogue.list_rows(after=1), [])
         removed = [_make_row("a", 3, value=None)]
-        self.assertEqual(catalogue.take_changes(removed, 3, now=2.0), removed)
+        self.assertEqual(catalogue.apply_changes(removed, 3, now=2.0), removed)
         self.assertEqual(catalogue.list_rows(after=2), removed)
 
     def test_rows_for_a_peer_include_removals(self):
         catalogue = TargetCatalogue()
-        catalogue.take_all([_make_row("a", 1), _make_row("b", 2)], 2, now=0.0)
-        catalogue.take_changes([_make_row("a", 3, value=None)], 3, now=1.0)
+        catalogue.apply_full_read([_make_row("a", 1), _make_row("b", 2)], 2, now=0.0)
+        catalogue.apply_changes([_make_row("a", 3, value=None)], 3, now=1.0)
         rows = catalogue.list_rows(after=2)
         self.assertEqual([(row.name, row.value) for row in rows], [("a", None)])
--- a/packages/core/fulmarward_core/chains/__init__.py
+++ b/packages/core/fulmarward_core/chains/__init__.py
@@ -8,7 +8,7 @@
     find_chain,
     find_replacement,
     list_offers,
-    note_step,
+    record_step_time,
 )
 
 __all__ = [
@@ -21,5 +21,5 @@
     "find_chain",
     "find_replacement",
     "list_offers",
-    "note_step",
+    "record_step_time",
 ]
--- a/packages/core/fulmarward_core/chains/decisions.py
+++ b/packages/core/fulmarward_core/chains/decisions.py
@@ -64,7 +64,7 @@
     return token_ms / (end - first)
 
 
-def note_step(
+def record_step_time(
     times: StepTimes, *, target: str, took_ms: float, expected_ms: float, now: float
 ) -> None:
     """Record the difference between a step's measured and expected time."""
--- a/packages/core/fulmarward_core/chains/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/chains/tests/test_decisions.py
@@ -13,7 +13,7 @@
     find_chain,
     find_replacement,
     list_offers,
-    note_step,
+    record_step_time,
 )
 from fulmarward_core.declaration import Link, Target, TargetKind
 from fulmarward_core.routing import TargetView
@@ -123,7 +123,7 @@
             near.target, layers=6, data_centre="a", links=links
         )
         for step in range(5):
-            note_step(
+            record_step_time(
                 times,
                 target="t1",
                 took_ms=expected_ms + 80,
--- a/packages/core/fulmarward_core/checks/_readers.py
+++ b/packages/core/fulmarward_core/checks/_readers.py
@@ -82,7 +82,7 @@
     faults.append(Fault(where=where, expected=expected, found=describe_value(value)))
 
 
-def read_text(*, pattern: str = r"(?s).+", expected: str = "a text") -> Reader:
+def read_string(*, pattern: str = r"(?s).+", expected: str = "a text") -> Reader:
     """Return a reader of a string that fully matches `pattern`."""
     compiled = re.compile(pattern)
 
@@ -105,7 +105,7 @@
     return read
 
 
-def read_whole(*, least: int, most: int) -> Reader:
+def read_integer(*, least: int, most: int) -> Reader:
     """Return a reader of an integer between `least` and `most`, inclusive."""
 
     def read(value: object, where: str, faults: list[Fault]) -> int | None:
@@ -131,7 +131,7 @@
     return read
 
 
-def read_flag() -> Reader:
+def read_boolean() -> Reader:
     """Return a reader of `true` or `false`."""
 
     def read(value: object, where: str, faults: list[Fault]) -> bool | None:
--- a/packages/core/fulmarward_core/checks/tests/test_readers.py
+++ b/packages/core/fulmarward_core/checks/tests/test_readers.py
@@ -5,20 +5,20 @@
     describe_faults,
     parse_json,
     read_address,
-    read_flag,
+    read_boolean,
+    read_integer,
     read_list_of,
     read_record,
-    read_text,
-    read_whole,
+    read_string,
 )
 
 _READ = read_record(
     dict,
     {
-        "name": Field(read=read_text()),
-        "count": Field(read=read_whole(least=1, most=5)),
+        "name": Field(read=read_string()),
+        "count": Field(read=read_integer(least=1, most=5)),
         "at": Field(read=read_address(), default="127.0.0.1:1"),
-        "flags": Field(read=read_list_of(read_flag()), default=()),
+        "flags": Field(read=read_list_of(read_boolean()), default=()),
     },
 )
 
--- a/packages/core/fulmarward_core/codec/__init__.py
+++ b/packages/core/fulmarward_core/codec/__init__.py
@@ -1,5 +1,5 @@
 """Encodes messages between processes as CBOR and validates their field types."""
 
-from fulmarward_core.codec._codec import Message, MessageCodec, MessageFault
+from fulmarward_core.codec._codec import InvalidMessageError, Message, MessageCodec
 
-__all__ = ["Message", "MessageCodec", "MessageFault"]
+__all__ = ["Message", "MessageCodec", "InvalidMessageError"]
--- a/packages/core/fulmarward_core/codec/_codec.py
+++ b/packages/core/fulmarward_core/codec/_codec.py
@@ -16,7 +16,7 @@
 _NATIVE_TYPES = (bytes,)
 
 
-class MessageFault(Exception):
+class InvalidMessageError(Exception):
     """The received bytes are no valid message of the protocol."""
 
 
@@ -49,16 +49,16 @@
     def decode(self, data: bytes) -> object:
         """Decode the message in `data`.
 
-        Raises `MessageFault` if it is invalid.
+        Raises `InvalidMessageError` if it is invalid.
         """
         try:
             items = cbor2.loads(data)
         except (cbor2.CBORDecodeError, UnicodeDecodeError) as error:
-            raise MessageFault(f"expected CBOR, found {error}") from error
+            raise InvalidMessageError(f"expected CBOR, found {error}") from error
         if not isinstance(items, list) or not items or type(items[0]) is not int:
-            raise MessageFault("expected a list that begins with a number")
+            raise InvalidMessageError("expected a list that begins with a number")
         if not 0 <= items[0] < len(self._messages):
-            raise MessageFault(f"expected a message number, found {items[0]}")
+            raise InvalidMessageError(f"expected a message number, found {items[0]}")
         return _make_unpacker(self._messages[items[0]])(items[1:])
 
 
@@ -177,7 +177,7 @@
         try:
             return msgspec.convert(value, kind, builtin_types=_NATIVE_TYPES)
         except msgspec.ValidationError as error:
-            raise MessageFault(f"expected {kind.__name__}: {error}") from error
+            raise InvalidMessageError(f"expected {kind.__name__}: {error}") from error
 
     return unpack
 
@@ -187,7 +187,7 @@
         return value
     if type(value) is int and kind is float:
         return float(value)
-    raise MessageFault(f"expected {kind.__name__}, found {type(value).__name__}")
+    raise InvalidMessageError(f"expected {kind.__name__}, found {type(value).__name__}")
 
 
 def _make_fields_unpacker(kind: type) -> _Unpacker:
@@ -197,7 +197,9 @@
 
     def unpack(value: Any) -> Any:  # noqa: ANN401
         if not isinstance(value, list) or len(value) != len(names):
-            raise MessageFault(f"expected the {len(names)} fields of {kind.__name__}")
+            raise InvalidMessageError(
+                f"expected the {len(names)} fields of {kind.__name__}"
+            )
         # A value whose type is the annotation itself is plain and needs no unpacking.
         if list(map(type, value)) != kinds:
             value = [
@@ -214,7 +216,9 @@
 
         def unpack_list(value: Any) -> tuple:  # noqa: ANN401
             if not isinstance(value, list):
-                raise MessageFault(f"expected a list, found {type(value).__name__}")
+                raise InvalidMessageError(
+                    f"expected a list, found {type(value).__name__}"
+                )
             return tuple([unpack_item(item) for item in value])
 
         return unpack_list
@@ -222,9 +226,11 @@
 
     def unpack(value: Any) -> tuple:  # noqa: ANN401
         if not isinstance(value, list):
-            raise MessageFault(f"expected a list, found {type(value).__name__}")
+            raise InvalidMessageError(f"expected a list, found {type(value).__name__}")
         if len(unpackers) != len(value):
-            raise MessageFault(f"expected {len(unpackers)} items, found {len(value)}")
+            raise InvalidMessageError(
+                f"expected {len(unpackers)} items, found {len(value)}"
+            )
         return tuple(
             [unpacker(item) for unpacker, item in zip(unpackers, value, strict=True)]
         )
@@ -236,4 +242,6 @@
     try:
         return kind(value)
     except ValueError as error:
-        raise MessageFault(f"expected a {kind.__name__}, found {value!r}") from error
+        raise InvalidMessageError(
+            f"expected a {kind.__name__}, found {value!r}"
+        ) from error
--- a/packages/core/fulmarward_core/codec/tests/test_codec.py
+++ b/packages/core/fulmarward_core/codec/tests/test_codec.py
@@ -6,7 +6,7 @@
 import cbor2
 from hypothesis import given, strategies as st
 
-from fulmarward_core.codec import Message, MessageCodec, MessageFault
+from fulmarward_core.codec import InvalidMessageError, Message, MessageCodec
 from fulmarward_core.codec.tests.calls import count_calls
 
 
@@ -147,7 +147,7 @@
         items[index] = data.draw(_PLAIN)
         try:
             read = _CODEC.decode(cbor2.dumps([0, *items]))
-        except MessageFault:
+        except InvalidMessageError:
             return
         self.assertEqual(len(_pack_expected(read)), len(items))
         for field, item in zip(dataclasses.fields(Sample), items, strict=True):
@@ -170,7 +170,7 @@
             ("unexpected field", [2, 1]),
         ]
         for name, items in cases:
-            with self.subTest(name), self.assertRaises(MessageFault):
+            with self.subTest(name), self.assertRaises(InvalidMessageError):
                 _CODEC.decode(cbor2.dumps(items))
 
     def test_integer_is_accepted_for_a_float(self):
@@ -227,7 +227,7 @@
         ):
             with self.subTest(items):
                 self._assert_same_result(items)
-                with self.assertRaises(MessageFault):
+                with self.assertRaises(InvalidMessageError):
                     _MESSAGE_CODEC.decode(cbor2.dumps(items))
 
     def _assert_same_result(self, items):
@@ -235,7 +235,7 @@
         for codec in (_CODEC, _MESSAGE_CODEC):
             try:
                 read.append(repr(_pack_expected(codec.decode(cbor2.dumps(items)))))
-            except MessageFault:
+            except InvalidMessageError:
                 read.append(None)
         self.assertEqual(*read)
 
--- a/packages/core/fulmarward_core/configuration/_types.py
+++ b/packages/core/fulmarward_core/configuration/_types.py
@@ -75,6 +75,6 @@
     UNCHANGED = "unchanged"
     #: The epoch is not the base epoch: search the history, where an earlier attempt
     #: of this apply may have taken effect.
-    LOOK_BACK = "look_back"
+    SEARCH_HISTORY = "look_back"
     #: Write the new head.
     COMMIT = "commit"
--- a/packages/core/fulmarward_core/configuration/decisions.py
+++ b/packages/core/fulmarward_core/configuration/decisions.py
@@ -56,7 +56,7 @@
     if current.content_hash == wanted.content_hash:
         return ApplyStep.UNCHANGED
     if base_epoch is not None and base_epoch != current.epoch:
-        return ApplyStep.LOOK_BACK
+        return ApplyStep.SEARCH_HISTORY
     return ApplyStep.COMMIT
 
 
--- a/packages/core/fulmarward_core/declaration/__init__.py
+++ b/packages/core/fulmarward_core/declaration/__init__.py
@@ -6,7 +6,7 @@
     hash_body,
     hash_declaration,
     join_declaration,
-    read_manifest,
+    parse_manifest,
     split_declaration,
 )
 from fulmarward_core.declaration._types import (
@@ -41,6 +41,6 @@
     "hash_declaration",
     "join_declaration",
     "parse_declaration",
-    "read_manifest",
+    "parse_manifest",
     "split_declaration",
 ]
--- a/packages/core/fulmarward_core/declaration/_parse.py
+++ b/packages/core/fulmarward_core/declaration/_parse.py
@@ -7,15 +7,15 @@
     Fault,
     Field,
     read_address,
-    read_flag,
+    read_boolean,
+    read_integer,
     read_list_of,
     read_map_of,
     read_number,
     read_one_of,
     read_optional,
     read_record,
-    read_text,
-    read_whole,
+    read_string,
 )
 from fulmarward_core.declaration._types import (
     DataCentre,
@@ -42,15 +42,15 @@
     "targets",
 )
 
-_NAME = read_text(
+_NAME = read_string(
     pattern=r"[a-z0-9][a-z0-9._-]{0,62}",
     expected="a name of lower-case letters, digits, '.', '_' and '-'",
 )
-_DIGEST = read_text(
+_DIGEST = read_string(
     pattern=r"sha256:[0-9a-f]{64}", expected="sha256: and 64 hexadecimal digits"
 )
 _NAMES = read_list_of(_NAME)
-_DEADLINE_MS = read_whole(least=1, most=86_400_000)
+_DEADLINE_MS = read_integer(least=1, most=86_400_000)
 
 
 def _make_target(*, layers: tuple[int, ...], **members: object) -> Target:
@@ -79,7 +79,7 @@
 _READ_MODEL = read_record(
     Model,
     {
-        "layers": Field(read=read_whole(least=1, most=10_000)),
+        "layers": Field(read=read_integer(least=1, most=10_000)),
         "versions": Field(read=read_list_of(_NAME, least=1, most=64)),
         "serving": Field(read=_NAME),
         "adapters": Field(read=_NAMES, default=()),
@@ -95,8 +95,8 @@
             default=Urgency.NORMAL,
         ),
         "deadline_ms": Field(read=_DEADLINE_MS),
-        "idempotent": Field(read=read_flag()),
-        "max_output_tokens": Field(read=read_whole(least=1, most=1_000_000)),
+        "idempotent": Field(read=read_boolean()),
+        "max_output_tokens": Field(read=read_integer(least=1, most=1_000_000)),
     },
 )
 _READ_SERVICE_CALL = read_record(
@@ -107,8 +107,8 @@
                 {name: name for name in ("GET", "PUT", "POST", "DELETE", "PATCH")}
             )
         ),
-        "path": Field(read=read_text(pattern=r"/\S*", expected="a path from '/'")),
-        "idempotent": Field(read=read_flag()),
+        "path": Field(read=read_string(pattern=r"/\S*", expected="a path from '/'")),
+        "idempotent": Field(read=read_boolean()),
     },
 )
 _READ_SERVICE = read_record(
@@ -125,14 +125,14 @@
         "data_centre": Field(read=_NAME),
         "kind": Field(read=read_one_of({item.value: item for item in TargetKind})),
         "serves": Field(read=_NAME),
-        "accelerator": Field(read=read_text(), default=""),
+        "accelerator": Field(read=read_string(), default=""),
         "layers": Field(
-            read=read_list_of(read_whole(least=0, most=10_000), least=2, most=2),
+            read=read_list_of(read_integer(least=0, most=10_000), least=2, most=2),
             default=(0, 0),
         ),
-        "slots": Field(read=read_whole(least=1, most=100_000)),
+        "slots": Field(read=read_integer(least=1, most=100_000)),
         "tokens_per_s": Field(read=read_number(least=0, most=1e9), default=0.0),
-        "checks_fencing": Field(read=read_flag(), default=False),
+        "checks_fencing": Field(read=read_boolean(), default=False),
     },
 )
 _SECTION_FIELDS = {
--- a/packages/core/fulmarward_core/declaration/_parts.py
+++ b/packages/core/fulmarward_core/declaration/_parts.py
@@ -54,7 +54,7 @@
     return split_declaration(value).content_hash
 
 
-def read_manifest(body: bytes) -> dict[str, str] | None:
+def parse_manifest(body: bytes) -> dict[str, str] | None:
     """Return part hashes by part name, or `None` if `body` is no valid manifest."""
     try:
         manifest = json.loads(body)
--- a/packages/core/fulmarward_core/declaration/tests/test_parts.py
+++ b/packages/core/fulmarward_core/declaration/tests/test_parts.py
@@ -6,7 +6,7 @@
     hash_body,
     hash_declaration,
     join_declaration,
-    read_manifest,
+    parse_manifest,
     split_declaration,
 )
 
@@ -34,7 +34,7 @@
     @given(_VALUES)
     def test_joining_the_parts_restores_the_declaration(self, value):
         split = split_declaration(value)
-        manifest = read_manifest(split.bodies[split.content_hash])
+        manifest = parse_manifest(split.bodies[split.content_hash])
         self.assertEqual(join_declaration(manifest, split.bodies), value)
         for content_hash, body in split.bodies.items():
             self.assertEqual(hash_body(body), content_hash)
@@ -47,7 +47,7 @@
 
     def test_damaged_manifests_and_parts_are_rejected(self):
         for body in (b"", b"[]", b'{"nope": "x"}', b'{"teams": 5}'):
-            self.assertIsNone(read_manifest(body))
+            self.assertIsNone(parse_manifest(body))
         for part in (b"", b"[1]", b"5"):
             self.assertIsNone(join_declaration({"teams/1": "h"}, {"h": part}))
         self.assertIsNone(join_declaration({"teams": "h"}, {}))
--- a/packages/core/fulmarward_core/discovery/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/discovery/tests/test_decisions.py
@@ -6,13 +6,13 @@
 
 from fulmarward_core.discovery import order_addresses
 from fulmarward_core.membership import (
-    Listed,
+    ListedInstance,
     Member,
     MemberState,
     MemberTable,
     list_usable,
     merge_member,
-    take_list,
+    update_listed,
 )
 
 
@@ -77,10 +77,10 @@
         for number in range(3):
             merge_member(table, _make_member(number), now=0.0)
         listed = [
-            Listed(name=f"i{number}", peer_address="", is_leaving=number == 1)
+            ListedInstance(name=f"i{number}", peer_address="", is_leaving=number == 1)
             for number in range(3)
         ]
-        take_list(table, listed, now=0.0)
+        update_listed(table, listed, now=0.0)
         self.assertEqual([item.name for item in list_usable(table)], ["i0", "i2"])
-        take_list(table, [], now=0.0)
+        update_listed(table, [], now=0.0)
         self.assertEqual(len(list_usable(table)), 3)
--- a/packages/core/fulmarward_core/fleet/__init__.py
+++ b/packages/core/fulmarward_core/fleet/__init__.py
@@ -6,7 +6,7 @@
     LayerRange,
     ServiceSpec,
     TargetRecord,
-    count_kv_capacity,
+    compute_kv_capacity,
 )
 
 __all__ = [
@@ -15,5 +15,5 @@
     "LayerRange",
     "ServiceSpec",
     "TargetRecord",
-    "count_kv_capacity",
+    "compute_kv_capacity",
 ]
--- a/packages/core/fulmarward_core/fleet/_types.py
+++ b/packages/core/fulmarward_core/fleet/_types.py
@@ -64,8 +64,8 @@
     #: Prefill rate in prompt tokens a second.
     prefill_tokens_per_s: float
     #: Mean lengths of prompts and answers, in tokens.
-    usual_prompt: int
-    usual_answer: int
+    mean_prompt_tokens: int
+    mean_answer_tokens: int
     #: Types of accelerators by name.
     kinds: Mapping[str, AcceleratorKind] = field(default_factory=dict)
     #: One-way delays in ms by the names of both data centres, in both directions.
@@ -96,7 +96,7 @@
     #: Maximum number of concurrent requests.
     slots: int
     #: Remaining time in seconds for which it is slow after its start.
-    cold_s: float
+    remaining_warmup_s: float
     #: When it started, in ms since 1970; 0 if not reported.
     started_ms: int
     #: Name of its type of accelerator; empty for a plain service.
@@ -105,7 +105,7 @@
     layers: LayerRange | None
 
 
-def count_kv_capacity(engine: EngineModel, kind: AcceleratorKind, layers: int) -> int:
+def compute_kv_capacity(engine: EngineModel, kind: AcceleratorKind, layers: int) -> int:
     """Return the KV cache capacity beside `layers` loaded layers.
 
     The unit is tokens times layers.
--- a/packages/core/fulmarward_core/health/__init__.py
+++ b/packages/core/fulmarward_core/health/__init__.py
@@ -1,13 +1,13 @@
 """The health of targets: which are leaving, what they cache, and the load of pools."""
 
-from fulmarward_core.health._cache import take_cache_events
+from fulmarward_core.health._cache import apply_cache_events
 from fulmarward_core.health._summaries import (
-    add_up,
     choose_candidates,
-    choose_teller,
+    choose_publisher,
     is_newer,
     list_pools,
     select_unsent,
+    summarize_pool,
 )
 from fulmarward_core.health._types import (
     LeavingKey,
@@ -25,16 +25,16 @@
     EVENT_BYTES_PER_S,
     REPORT_BYTES,
     REPORT_BYTES_PER_S,
-    announce,
     charge,
     compute_leaving_digest,
+    create_record,
     draw_interval,
     forget_undeclared,
     is_leaving,
     list_sources,
     merge_record,
-    observe,
-    observe_report,
+    record_load_report,
+    record_observation,
     reserve,
     select_followed,
 )
@@ -53,11 +53,11 @@
     "PoolKey",
     "PoolSummary",
     "SummaryRecord",
-    "add_up",
-    "announce",
+    "summarize_pool",
+    "create_record",
     "charge",
     "choose_candidates",
-    "choose_teller",
+    "choose_publisher",
     "compute_leaving_digest",
     "draw_interval",
     "forget_undeclared",
@@ -66,10 +66,10 @@
     "list_pools",
     "list_sources",
     "merge_record",
-    "observe",
-    "observe_report",
+    "record_observation",
+    "record_load_report",
     "reserve",
     "select_followed",
     "select_unsent",
-    "take_cache_events",
+    "apply_cache_events",
 ]
--- a/packages/core/fulmarward_core/health/_cache.py
+++ b/packages/core/fulmarward_core/health/_cache.py
@@ -17,7 +17,7 @@
 MAX_PREFIXES = 2_048
 
 
-def take_cache_events(
+def apply_cache_events(
     view: TargetView, events: Sequence[tuple[int, bool, str]], *, now: float
 ) -> None:
     """Apply the cache events from `view.cache_sequence` on, including that one.
--- a/packages/core/fulmarward_core/health/_summaries.py
+++ b/packages/core/fulmarward_core/health/_summaries.py
@@ -19,7 +19,7 @@
 MAX_SUMMARIES_PER_MESSAGE = 16
 
 
-def choose_teller(instances: Sequence[str], key: PoolKey) -> str:
+def choose_publisher(instances: Sequence[str], key: PoolKey) -> str:
     """Return which instance of a data centre publishes a pool's summary.
 
     Rendezvous hashing keeps the choice stable when other instances come and go.
@@ -52,7 +52,7 @@
     return sorted(found)
 
 
-def add_up(
+def summarize_pool(
     *,
     targets: Mapping[str, Target],
     views: Mapping[str, TargetView],
@@ -86,7 +86,7 @@
         running=round(scale * sum(report.running for report, _ in reports)),
         waiting=round(scale * sum(report.waiting for report, _ in reports)),
         open_targets=len(open_targets),
-        told_at=now,
+        computed_at=now,
     )
 
 
--- a/packages/core/fulmarward_core/health/_types.py
+++ b/packages/core/fulmarward_core/health/_types.py
@@ -66,7 +66,7 @@
     #: Number of targets that accept new work.
     open_targets: int
     #: When the numbers were computed, in seconds on this instance's steady clock.
-    told_at: float
+    computed_at: float
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/core/fulmarward_core/health/decisions.py
+++ b/packages/core/fulmarward_core/health/decisions.py
@@ -96,7 +96,7 @@
     return item is not None and item.is_leaving
 
 
-def observe(
+def record_observation(
     table: LeavingTable, key: LeavingKey, *, leaving: bool, now: float
 ) -> LeavingRecord | None:
     """Store an observation of this instance; return the record to send to peers.
@@ -119,7 +119,7 @@
     )
     if not needs_record:
         return None
-    return announce(table, key, leaving=leaving, now=now)
+    return create_record(table, key, leaving=leaving, now=now)
 
 
 def _has_lasted(table: LeavingTable, key: LeavingKey, *, now: float) -> bool:
@@ -132,7 +132,7 @@
     return not seen.is_leaving and now - since >= CONTRADICT_AFTER_S
 
 
-def observe_report(
+def record_load_report(
     table: LeavingTable, target: str, *, leaving: bool, now: float
 ) -> LeavingRecord | None:
     """Store the leaving flag of a load report; it cannot revoke a recent rejection."""
@@ -141,10 +141,10 @@
     is_fresh = seen is not None and now - seen.since < REFUSAL_VALIDITY_S
     if not leaving and is_fresh and _is_marked_leaving(seen):
         return None
-    return observe(table, key, leaving=leaving, now=now)
+    return record_observation(table, key, leaving=leaving, now=now)
 
 
-def announce(
+def create_record(
     table: LeavingTable, key: LeavingKey, *, leaving: bool, now: float
 ) -> LeavingRecord | None:
     """Create and return a record of the state; `None` if the table already says so."""
--- a/packages/core/fulmarward_core/health/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/health/tests/test_decisions.py
@@ -12,8 +12,8 @@
     is_leaving,
     list_sources,
     merge_record,
-    observe,
-    observe_report,
+    record_load_report,
+    record_observation,
     reserve,
     select_followed,
 )
@@ -40,9 +40,9 @@
         # new work resumed a second later, since the engine's load report, which does
         # not reflect the drain, said that it was open.
         table = LeavingTable()
-        observe(table, ("e1", _OPERATOR), leaving=True, now=0.0)
-        observe_report(table, "e1", leaving=False, now=1.0)
-        observe(table, ("e1", _LIST), leaving=False, now=1.0)
+        record_observation(table, ("e1", _OPERATOR), leaving=True, now=0.0)
+        record_load_report(table, "e1", leaving=False, now=1.0)
+        record_observation(table, ("e1", _LIST), leaving=False, now=1.0)
         self.assertEqual(list_sources(table, "e1"), (_OPERATOR,))
 
     def test_delayed_report_does_not_revoke_a_rejection(self):
@@ -50,10 +50,10 @@
         # it is leaving: it says that the engine is open, and the next request would go
         # there again.
         table = LeavingTable()
-        observe(table, ("e1", _TARGET), leaving=True, now=0.0)
-        observe_report(table, "e1", leaving=False, now=1.0)
+        record_observation(table, ("e1", _TARGET), leaving=True, now=0.0)
+        record_load_report(table, "e1", leaving=False, now=1.0)
         self.assertTrue(is_leaving(table, "e1"))
-        observe_report(table, "e1", leaving=False, now=REFUSAL_VALIDITY_S)
+        record_load_report(table, "e1", leaving=False, now=REFUSAL_VALIDITY_S)
         self.assertFalse(is_leaving(table, "e1"))
 
     def test_lagging_lists_cause_no_message_storm(self):
@@ -66,7 +66,9 @@
                 (early, late, second >= 5),
                 (late, early, second >= 12),
             ):
-                record = observe(table, ("e1", _LIST), leaving=leaving, now=second)
+                record = record_observation(
+                    table, ("e1", _LIST), leaving=leaving, now=second
+                )
                 if record is not None:
                     records_sent += 1
                     merge_record(other, record, now=second)
@@ -80,9 +82,11 @@
         table = LeavingTable()
         stale = LeavingRecord(target="e1", source=_TARGET, is_leaving=True, version=7)
         merge_record(table, stale, now=0.0)
-        self.assertIsNone(observe_report(table, "e1", leaving=False, now=1.0))
+        self.assertIsNone(record_load_report(table, "e1", leaving=False, now=1.0))
         self.assertTrue(is_leaving(table, "e1"))
-        record = observe_report(table, "e1", leaving=False, now=1 + CONTRADICT_AFTER_S)
+        record = record_load_report(
+            table, "e1", leaving=False, now=1 + CONTRADICT_AFTER_S
+        )
         self.assertEqual((record.is_leaving, record.version), (False, 8))
         self.assertFalse(is_leaving(table, "e1"))
 
@@ -101,7 +105,7 @@
         table = LeavingTable()
         latest = dict.fromkeys(LeavingSource, False)
         for source, leaving in observations:
-            observe(table, ("e1", source), leaving=leaving, now=0.0)
+            record_observation(table, ("e1", source), leaving=leaving, now=0.0)
             latest[source] = leaving
             self.assertEqual(is_leaving(table, "e1"), any(latest.values()))
 
--- a/packages/core/fulmarward_core/health/tests/test_summaries.py
+++ b/packages/core/fulmarward_core/health/tests/test_summaries.py
@@ -2,10 +2,10 @@
 
 from fulmarward_core.health import (
     SummaryRecord,
-    add_up,
-    choose_teller,
+    choose_publisher,
     is_newer,
     select_unsent,
+    summarize_pool,
 )
 from fulmarward_core.health._summaries import (
     MAX_SUMMARIES_PER_MESSAGE,
@@ -27,7 +27,7 @@
             )
             for name in pool[:5]
         }
-        summary = add_up(
+        summary = summarize_pool(
             targets=targets,
             views=views,
             leaving=frozenset(pool[:2]),
@@ -40,10 +40,10 @@
 
     def test_publisher_changes_only_when_it_leaves(self):
         names = [f"i{number}" for number in range(9)]
-        publisher = choose_teller(names, ("m", "dc"))
+        publisher = choose_publisher(names, ("m", "dc"))
         others = [name for name in names if name != publisher]
         self.assertEqual(
-            choose_teller([*others[1:], publisher], ("m", "dc")), publisher
+            choose_publisher([*others[1:], publisher], ("m", "dc")), publisher
         )
 
     def test_summary_with_a_version_far_ahead_is_rejected(self):
--- a/packages/core/fulmarward_core/keys/__init__.py
+++ b/packages/core/fulmarward_core/keys/__init__.py
@@ -7,15 +7,15 @@
     unpack_claim,
 )
 from fulmarward_core.keys._prefixes import (
-    HandedKey,
-    InventedKey,
+    CallerKey,
+    IssuedKey,
     KeyPrefix,
     open_key,
     seal_prefix,
 )
 from fulmarward_core.keys._types import (
     AttemptPlace,
-    Claim,
+    ClaimDecision,
     KeyEntry,
     KeyState,
     KeyTable,
@@ -29,23 +29,23 @@
 from fulmarward_core.keys.decisions._conclusions import (
     Conclusion,
     conclude_closing,
-    conclude_take,
+    conclude_takeover,
     list_closable,
 )
-from fulmarward_core.keys.decisions._home import claim_key, end_key, forget_key
+from fulmarward_core.keys.decisions._home import claim_key, end_key, remove_key
 from fulmarward_core.keys.decisions._witness import (
-    note_record,
     record_attempt,
-    take_key,
+    take_over_key,
+    update_record,
 )
 
 __all__ = [
     "AttemptPlace",
-    "Claim",
+    "ClaimDecision",
     "ClaimRow",
     "Conclusion",
-    "HandedKey",
-    "InventedKey",
+    "IssuedKey",
+    "CallerKey",
     "KeyEntry",
     "KeyPrefix",
     "KeyState",
@@ -58,16 +58,16 @@
     "WitnessTable",
     "claim_key",
     "conclude_closing",
-    "conclude_take",
+    "conclude_takeover",
     "end_key",
-    "forget_key",
+    "remove_key",
     "list_closable",
     "make_row_key",
-    "note_record",
+    "update_record",
     "open_key",
     "pack_claim",
     "record_attempt",
     "seal_prefix",
-    "take_key",
+    "take_over_key",
     "unpack_claim",
 ]
--- a/packages/core/fulmarward_core/keys/_claims.py
+++ b/packages/core/fulmarward_core/keys/_claims.py
@@ -13,7 +13,7 @@
     """The content of a claim's row."""
 
     #: The key issued in place of the caller's; it names home and witness.
-    handed: str
+    issued_key: str
     #: Hash of the body of the claiming request.
     body_hash: str
     #: Time of the claim, in seconds since 1970.
@@ -28,10 +28,10 @@
 
 def pack_claim(claim: ClaimRow) -> list[Any]:
     """Return the value of the claim's row."""
-    return [claim.handed, claim.body_hash, claim.claimed_at]
+    return [claim.issued_key, claim.body_hash, claim.claimed_at]
 
 
 def unpack_claim(value: Any) -> ClaimRow:  # noqa: ANN401
     """Return the claim from the value of its row."""
-    handed, body_hash, claimed_at = value
-    return ClaimRow(handed=handed, body_hash=body_hash, claimed_at=claimed_at)
+    issued_key, body_hash, claimed_at = value
+    return ClaimRow(issued_key=issued_key, body_hash=body_hash, claimed_at=claimed_at)
--- a/packages/core/fulmarward_core/keys/_prefixes.py
+++ b/packages/core/fulmarward_core/keys/_prefixes.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HandedKey:
+class IssuedKey:
     """A key whose prefix the system issued to this team."""
 
     #: The whole key as the caller sent it.
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class InventedKey:
+class CallerKey:
     """A key that the caller chose, without an issued prefix."""
 
     text: str
@@ -80,19 +80,19 @@
 
 def open_key(
     text: str, *, team: str, secrets: Sequence[bytes]
-) -> HandedKey | InventedKey | None:
+) -> IssuedKey | CallerKey | None:
     """Return the parsed key, or `None` if this team cannot use it.
 
     All of `secrets` are tried: a key issued before the fleet's secret was changed must
     still be recognised, otherwise its request might be taken for a different one.
     """
     if not text.startswith(PREFIX_MARK):
-        return InventedKey(text=text) if _CALLER_CHOSEN.fullmatch(text) else None
+        return CallerKey(text=text) if _CALLER_CHOSEN.fullmatch(text) else None
     sealed, _, suffix = text[len(PREFIX_MARK) :].partition(".")
     if len(text) > MAX_KEY_LENGTH or not _SUFFIX.fullmatch(suffix):
         return None
     prefix = _open_prefix(sealed, team, secrets)
-    return HandedKey(text=text, prefix=prefix) if prefix else None
+    return IssuedKey(text=text, prefix=prefix) if prefix else None
 
 
 def _open_prefix(sealed: str, team: str, secrets: Sequence[bytes]) -> KeyPrefix | None:
--- a/packages/core/fulmarward_core/keys/_types.py
+++ b/packages/core/fulmarward_core/keys/_types.py
@@ -14,7 +14,7 @@
     ENDED = "ended"
 
 
-class Claim(StrEnum):
+class ClaimDecision(StrEnum):
     """Decision of the home on a call with a key."""
 
     #: The key is new: run the request.
@@ -22,7 +22,7 @@
     #: Read the answer of the running request, or the stored answer.
     ATTACH = "attach"
     #: The request ended and its answer is no longer stored: report the outcome.
-    TELL = "tell"
+    REPORT_OUTCOME = "tell"
     #: The key was used before with a different body.
     OTHER_BODY = "other_body"
     #: The request did not run before the key expired and never will.
@@ -37,7 +37,7 @@
     """Reply of the witness to a home that asks to dispatch an attempt."""
 
     #: The attempt is recorded and may be dispatched.
-    KEPT = "kept"
+    ACCEPTED = "kept"
     #: The key is closed or taken over: no more attempts may run.
     CLOSED = "closed"
     #: The witness has a record of a different execution than this home's request.
@@ -105,9 +105,9 @@
 
     entries: dict[str, KeyEntry] = field(default_factory=dict)
     #: Stored answers of requests that ended.
-    kept: StoredAnswers = field(default_factory=StoredAnswers)
+    stored_answers: StoredAnswers = field(default_factory=StoredAnswers)
     #: Latest time seen, so that a clock set back does not make a removed key new again.
-    latest: float = 0.0
+    latest_time: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -159,6 +159,6 @@
 
     records: dict[str, WitnessRecord] = field(default_factory=dict)
     #: Stored copies of answers.
-    kept: StoredAnswers = field(default_factory=StoredAnswers)
+    stored_answers: StoredAnswers = field(default_factory=StoredAnswers)
     #: Latest time seen, as in `KeyTable`.
-    latest: float = 0.0
+    latest_time: float = 0.0
--- a/packages/core/fulmarward_core/keys/decisions/_ages.py
+++ b/packages/core/fulmarward_core/keys/decisions/_ages.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from fulmarward_core.keys._types import (
-    Claim,
+    ClaimDecision,
     KeyEntry,
     StoredAnswers,
     WitnessRecord,
@@ -26,7 +26,7 @@
 MAX_CHECKS_PER_CALL = 4
 
 
-def check_age(expires_at: float, now: float) -> Claim | None:
+def check_age(expires_at: float, now: float) -> ClaimDecision | None:
     """Return why a key without an entry cannot be new, `None` if it can be.
 
     Guards against a late repeat that runs again after its entry was removed. Entries
@@ -34,8 +34,8 @@
     that nothing ran, and no request starts after the key has expired.
     """
     if now > expires_at + RETAIN_S:
-        return Claim.TOO_OLD
-    return Claim.EXPIRED if now > expires_at else None
+        return ClaimDecision.TOO_OLD
+    return ClaimDecision.EXPIRED if now > expires_at else None
 
 
 def store_answer(kept: StoredAnswers, key: str, size: int, drop_at: float) -> None:
--- a/packages/core/fulmarward_core/keys/decisions/_conclusions.py
+++ b/packages/core/fulmarward_core/keys/decisions/_conclusions.py
@@ -23,12 +23,12 @@
     #: The request failed; the record holds the failure.
     FAILED = "failed"
     #: The request ran and its answer is no longer stored.
-    SPENT = "spent"
+    ANSWER_EXPIRED = "spent"
     #: The outcome cannot be determined.
     UNKNOWN = "unknown"
 
 
-def conclude_take(record: WitnessRecord | None) -> Conclusion:
+def conclude_takeover(record: WitnessRecord | None) -> Conclusion:
     """Return the conclusion from the record of a key that was taken over."""
     if record is None:
         return Conclusion.UNKNOWN
@@ -41,7 +41,7 @@
     if any(place.has_stream for place in record.places):
         return Conclusion.RESUME
     if record.state is RecordState.ENDED:
-        return Conclusion.SPENT
+        return Conclusion.ANSWER_EXPIRED
     return Conclusion.UNKNOWN
 
 
--- a/packages/core/fulmarward_core/keys/decisions/_home.py
+++ b/packages/core/fulmarward_core/keys/decisions/_home.py
@@ -1,7 +1,7 @@
 """Decisions of a key's home: claims and ends of requests."""
 
 from fulmarward_core.keys._types import (
-    Claim,
+    ClaimDecision,
     KeyEntry,
     KeyState,
     KeyTable,
@@ -17,34 +17,34 @@
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
 _CLAIMS = {
-    (KeyState.RUNNING, True): Claim.ATTACH,
-    (KeyState.ENDED, True): Claim.ATTACH,
-    (KeyState.ENDED, False): Claim.TELL,
+    (KeyState.RUNNING, True): ClaimDecision.ATTACH,
+    (KeyState.ENDED, True): ClaimDecision.ATTACH,
+    (KeyState.ENDED, False): ClaimDecision.REPORT_OUTCOME,
 }
 
 
 def claim_key(
     table: KeyTable, key: str, *, body_hash: str, expires_at: float, now: float
-) -> tuple[Claim, KeyEntry | None]:
+) -> tuple[ClaimDecision, KeyEntry | None]:
     """Decide on a call with a key, and add an entry if the key is new."""
-    table.latest = max(table.latest, now)
-    drop_answers(table.kept, table.entries, table.latest)
+    table.latest_time = max(table.latest_time, now)
+    drop_answers(table.stored_answers, table.entries, table.latest_time)
     _drop_entries(table)
     entry = table.entries.get(key)
     if entry is not None:
         if entry.body_hash != body_hash:
-            return Claim.OTHER_BODY, None
+            return ClaimDecision.OTHER_BODY, None
         return _CLAIMS[entry.state, entry.answer is not None], entry
-    refusal = check_age(expires_at, table.latest)
+    refusal = check_age(expires_at, table.latest_time)
     if refusal is None and len(table.entries) >= MAX_ENTRIES:
-        refusal = Claim.FULL
+        refusal = ClaimDecision.FULL
     if refusal is not None:
         return refusal, None
     entry = KeyEntry(
         body_hash=body_hash, state=KeyState.RUNNING, drop_at=expires_at + RETAIN_S
     )
     table.entries[key] = entry
-    return Claim.START, entry
+    return ClaimDecision.START, entry
 
 
 def end_key(
@@ -57,18 +57,18 @@
     now: float,
 ) -> None:
     """Record that a key's request ended; its answer is stored for `keep_s`."""
-    table.latest = max(table.latest, now)
+    table.latest_time = max(table.latest_time, now)
     entry = table.entries.get(key)
     if entry is None or entry.state is KeyState.ENDED:
         return
     entry.state = KeyState.ENDED
     entry.outcome = failure or make_failure(ResultCode.ALREADY_RAN)
-    entry.drop_at = max(entry.drop_at, table.latest + RETAIN_S)
-    store_answer(table.kept, key, size, table.latest + keep_s)
-    drop_answers(table.kept, table.entries, table.latest)
+    entry.drop_at = max(entry.drop_at, table.latest_time + RETAIN_S)
+    store_answer(table.stored_answers, key, size, table.latest_time + keep_s)
+    drop_answers(table.stored_answers, table.entries, table.latest_time)
 
 
-def forget_key(table: KeyTable, key: str) -> None:
+def remove_key(table: KeyTable, key: str) -> None:
     """Remove a key whose request failed and may run again, as it is idempotent."""
     table.entries.pop(key, None)
 
@@ -77,7 +77,7 @@
     entries = table.entries
     for _ in range(min(MAX_CHECKS_PER_CALL, len(entries))):
         key = next(iter(entries))
-        if entries[key].drop_at >= table.latest:
+        if entries[key].drop_at >= table.latest_time:
             return
         entry = entries.pop(key)
         if entry.state is KeyState.RUNNING:
--- a/packages/core/fulmarward_core/keys/decisions/_witness.py
+++ b/packages/core/fulmarward_core/keys/decisions/_witness.py
@@ -2,7 +2,7 @@
 
 from fulmarward_core.keys._types import (
     AttemptPlace,
-    Claim,
+    ClaimDecision,
     RecordState,
     RecordStep,
     RecordVerdict,
@@ -18,7 +18,7 @@
     drop_answers,
     store_answer,
 )
-from fulmarward_core.results import Failure, Ran
+from fulmarward_core.results import ExecutionState, Failure
 
 #: State transitions of a record; a step without an entry changes nothing. `None` stands
 #: for a key without a record.
@@ -41,7 +41,7 @@
     records = table.records
     for _ in range(min(MAX_CHECKS_PER_CALL, len(records))):
         key = next(iter(records))
-        if records[key].drop_at >= table.latest:
+        if records[key].drop_at >= table.latest_time:
             return
         del records[key]
 
@@ -78,8 +78,8 @@
 
 
 def _advance(table: WitnessTable, now: float) -> None:
-    table.latest = max(table.latest, now)
-    drop_answers(table.kept, table.records, table.latest)
+    table.latest_time = max(table.latest_time, now)
+    drop_answers(table.stored_answers, table.records, table.latest_time)
     _drop_records(table)
 
 
@@ -104,7 +104,7 @@
     _advance(table, now)
     record = table.records.get(key)
     if record is None:
-        if check_age(expires_at, table.latest) is not None:
+        if check_age(expires_at, table.latest_time) is not None:
             return RecordVerdict.CLOSED
         record = _add_record(
             table,
@@ -126,10 +126,10 @@
         return RecordVerdict.CLOSED if is_taken else RecordVerdict.UNKNOWN
     if place not in record.places:
         record.places = (*record.places, place)
-    return RecordVerdict.KEPT
+    return RecordVerdict.ACCEPTED
 
 
-def take_key(
+def take_over_key(
     table: WitnessTable, key: str, *, body_hash: str, expires_at: float, now: float
 ) -> WitnessRecord | None:
     """Take a key over from a home that cannot be reached; return its record.
@@ -143,7 +143,7 @@
         if record.body_hash == body_hash:
             _apply_step(record, RecordStep.TAKE)
         return record
-    if check_age(expires_at, table.latest) is Claim.TOO_OLD:
+    if check_age(expires_at, table.latest_time) is ClaimDecision.TOO_OLD:
         return None
     return _add_record(
         table,
@@ -156,7 +156,7 @@
     )
 
 
-def note_record(
+def update_record(
     table: WitnessTable,
     key: str,
     step: RecordStep,
@@ -171,14 +171,20 @@
     record = table.records.get(key)
     if record is None:
         return False
-    if failure is not None and failure.ran is Ran.NOT_RUN and step is RecordStep.END:
+    if (
+        failure is not None
+        and failure.ran is ExecutionState.NOT_RUN
+        and step is RecordStep.END
+    ):
         step = RecordStep.CLOSE
     if not _apply_step(record, step):
         return False
     record.failure = failure
-    record.drop_at = max(record.drop_at, table.latest + RETAIN_S)
+    record.drop_at = max(record.drop_at, table.latest_time + RETAIN_S)
     if answer is not None:
         record.answer = answer
-        store_answer(table.kept, key, len(answer.body), table.latest + keep_s)
-        drop_answers(table.kept, table.records, table.latest)
+        store_answer(
+            table.stored_answers, key, len(answer.body), table.latest_time + keep_s
+        )
+        drop_answers(table.stored_answers, table.records, table.latest_time)
     return True
--- a/packages/core/fulmarward_core/keys/tests/test_at_most_once.py
+++ b/packages/core/fulmarward_core/keys/tests/test_at_most_once.py
@@ -14,7 +14,7 @@
 
 from fulmarward_core.keys import (
     AttemptPlace,
-    Claim,
+    ClaimDecision,
     Conclusion,
     KeyTable,
     RecordStep,
@@ -22,14 +22,14 @@
     WitnessTable,
     claim_key,
     conclude_closing,
-    conclude_take,
+    conclude_takeover,
     end_key,
     list_closable,
-    note_record,
     record_attempt,
-    take_key,
+    take_over_key,
+    update_record,
 )
-from fulmarward_core.results import Ran, ResultCode, make_failure
+from fulmarward_core.results import ExecutionState, ResultCode, make_failure
 
 _KEYS = st.sampled_from(["k1", "k1", "k1", "k2"])
 _ENGINES = ("e1", "e2")
@@ -144,7 +144,7 @@
         def arrive(delivery):
             if delivery != "lost" and self.witness_is_alive:
                 now = self.witness_clock
-                note_record(self.witness, key, step, failure=failure, now=now)
+                update_record(self.witness, key, step, failure=failure, now=now)
 
         self.pending.append(arrive)
 
@@ -158,11 +158,11 @@
             expires_at=_EXPIRES_AT,
             now=self.home_clock,
         )
-        if claim is Claim.EXPIRED:
+        if claim is ClaimDecision.EXPIRED:
             self.report(key, ResultCode.KEY_CLOSED)
-        if claim is Claim.TELL:
+        if claim is ClaimDecision.REPORT_OUTCOME:
             self.report(key, entry.outcome.code)
-        if claim is Claim.START:
+        if claim is ClaimDecision.START:
             task = _Task(key=key, request=f"r{len(self.keys_of)}")
             self.keys_of[task.request] = key
             entry.answer = task
@@ -225,7 +225,7 @@
     def home_receives_verdict(self, task, number, verdict, delivery):
         if not self.home_is_alive or task.last_question != number or delivery == "lost":
             return
-        if verdict is not RecordVerdict.KEPT:
+        if verdict is not RecordVerdict.ACCEPTED:
             task.last_question += 1
             self.end(task, _CODES[verdict])
             return
@@ -275,14 +275,14 @@
         if not self.witness_is_alive:
             self.report(key, ResultCode.OUTCOME_UNKNOWN)
             return
-        record = take_key(
+        record = take_over_key(
             self.witness,
             key,
             body_hash="b",
             expires_at=_EXPIRES_AT,
             now=self.witness_clock,
         )
-        conclusion = conclude_take(record)
+        conclusion = conclude_takeover(record)
         if conclusion is Conclusion.NOT_RUN:
             self.report(key, ResultCode.KEY_CLOSED)
         if conclusion is Conclusion.RESUME:
@@ -325,7 +325,7 @@
         assert len(runs) == len(set(runs)), f"run twice: {runs}"
         for key, reported in self.reported.items():
             is_reported_not_run = any(
-                failure.ran is Ran.NOT_RUN for failure in reported
+                failure.ran is ExecutionState.NOT_RUN for failure in reported
             )
             assert not (is_reported_not_run and key in runs), (
                 f"{key} ran, reported {reported}"
--- a/packages/core/fulmarward_core/keys/tests/test_prefixes.py
+++ b/packages/core/fulmarward_core/keys/tests/test_prefixes.py
@@ -3,8 +3,8 @@
 from hypothesis import given, strategies as st
 
 from fulmarward_core.keys import (
-    HandedKey,
-    InventedKey,
+    CallerKey,
+    IssuedKey,
     KeyPrefix,
     open_key,
     seal_prefix,
@@ -38,7 +38,7 @@
             return
         self.assertEqual(
             open_key(key, team="folha", secrets=[_NEW, _OLD]),
-            HandedKey(text=key, prefix=prefix),
+            IssuedKey(text=key, prefix=prefix),
         )
         self.assertIsNone(open_key(key, team="other", secrets=[_OLD]))
         self.assertIsNone(open_key(key, team="folha", secrets=[_NEW]))
@@ -50,13 +50,13 @@
 
     def test_kinds_of_keys(self):
         cases = [
-            (_seal() + "move-7", HandedKey),
+            (_seal() + "move-7", IssuedKey),
             (_seal(), type(None)),
-            (_seal() + ".move-7", HandedKey),
+            (_seal() + ".move-7", IssuedKey),
             (_seal()[:-1], type(None)),
             (_seal() + "a" * 500, type(None)),
             (_seal(team="other") + "a", type(None)),
-            ("my-own-key", InventedKey),
+            ("my-own-key", CallerKey),
             ("", type(None)),
             ("two words", type(None)),
             ("a" * 256, type(None)),
--- a/packages/core/fulmarward_core/layers/decisions/__init__.py
+++ b/packages/core/fulmarward_core/layers/decisions/__init__.py
@@ -17,7 +17,7 @@
 from fulmarward_core.layers.decisions._repairs import plan_repairs
 from fulmarward_core.layers.decisions._sizes import (
     MIN_KV_TOKENS,
-    group_by_centre,
+    group_by_data_centre,
     size_ranges,
 )
 from fulmarward_core.layers.decisions._types import Assignment, LayerOrder
@@ -29,7 +29,7 @@
     "LayerOrder",
     "count_holders",
     "find_gaps",
-    "group_by_centre",
+    "group_by_data_centre",
     "plan_layers",
     "plan_repairs",
     "size_ranges",
--- a/packages/core/fulmarward_core/layers/decisions/_gaps.py
+++ b/packages/core/fulmarward_core/layers/decisions/_gaps.py
@@ -12,7 +12,7 @@
 from fulmarward_core.layers.decisions._sizes import (
     MIN_KV_TOKENS,
     can_hold_model,
-    group_by_centre,
+    group_by_data_centre,
     size_ranges,
 )
 from fulmarward_core.layers.decisions._types import Assignment, LayerOrder
@@ -49,7 +49,7 @@
     known = dict(ranges)
     # The whole fleet comes last: a layer that nobody holds is missing in every data
     # centre, and several data centres together may have the memory for it.
-    for members in [*group_by_centre(fleet).values(), fleet]:
+    for members in [*group_by_data_centre(fleet).values(), fleet]:
         if not find_gaps(engine.layers, [known[member.name] for member in members]):
             continue
         others = [target for target in fleet if target not in members]
--- a/packages/core/fulmarward_core/layers/decisions/_plan.py
+++ b/packages/core/fulmarward_core/layers/decisions/_plan.py
@@ -15,7 +15,7 @@
     count_layers,
     find_fast_kinds,
     find_max_kv,
-    group_by_centre,
+    group_by_data_centre,
     size_ranges,
 )
 from fulmarward_core.layers.decisions._types import Assignment
@@ -47,7 +47,7 @@
     ranges = {item.target: item.layers for item in chain}
     planned = list(chain)
     incomplete: list[TargetRecord] = []
-    for centre, members in group_by_centre(slow).items():
+    for centre, members in group_by_data_centre(slow).items():
         if can_hold_model(engine, members, MIN_KV_TOKENS):
             planned += _plan_group(engine, members)
             continue
@@ -79,7 +79,7 @@
     """Sort fast engines by data centre, the one with the most layers first."""
     held = {
         centre: count_layers(sizes, members)
-        for centre, members in group_by_centre(targets).items()
+        for centre, members in group_by_data_centre(targets).items()
     }
     return sorted(
         targets,
@@ -134,7 +134,7 @@
     cannot hold the layers that the fast ones leave.
     """
     assignments, incomplete = [], []
-    for members in group_by_centre(targets).values():
+    for members in group_by_data_centre(targets).values():
         if can_hold_model(engine, members, MIN_KV_TOKENS):
             assignments += _plan_group(engine, members)
         else:
--- a/packages/core/fulmarward_core/layers/decisions/_sizes.py
+++ b/packages/core/fulmarward_core/layers/decisions/_sizes.py
@@ -67,7 +67,7 @@
     request that the others do not know of yet. So the KV cache has room for one more
     request per instance.
     """
-    request_tokens = engine.usual_prompt + engine.usual_answer
+    request_tokens = engine.mean_prompt_tokens + engine.mean_answer_tokens
     return MIN_KV_TOKENS + instances * request_tokens
 
 
@@ -86,7 +86,7 @@
     )
 
 
-def group_by_centre(
+def group_by_data_centre(
     targets: Iterable[TargetRecord],
 ) -> dict[str, list[TargetRecord]]:
     """Return the targets by data centre, sorted by its name."""
--- a/packages/core/fulmarward_core/layers/tests/load.py
+++ b/packages/core/fulmarward_core/layers/tests/load.py
@@ -8,7 +8,7 @@
 import random
 from dataclasses import dataclass
 
-from fulmarward_core.fleet import count_kv_capacity
+from fulmarward_core.fleet import compute_kv_capacity
 from fulmarward_core.loads import LoadLedger
 from fulmarward_core.paths import PathRequest, count_tokens_held
 from fulmarward_core.paths.tests.stages import LoadedStage, choose_path
@@ -40,7 +40,7 @@
             data_centre=target.data_centre,
             kind=kind,
             layers=target.layers,
-            kv_capacity=float(count_kv_capacity(engine, kind, len(target.layers))),
+            kv_capacity=float(compute_kv_capacity(engine, kind, len(target.layers))),
             kv_reserved=0.0 if load is None else load.kv,
             running=0 if load is None else load.running,
             first_running=0 if load is None else load.first_running,
@@ -78,8 +78,8 @@
         while ends and ends[0][0] <= now:
             ledger.release(heapq.heappop(ends)[2])
         request = PathRequest(
-            prompt=min(2280, int(rng.expovariate(1 / engine.usual_prompt)) + 1),
-            answer=min(420, int(rng.expovariate(1 / engine.usual_answer)) + 1),
+            prompt=min(2280, int(rng.expovariate(1 / engine.mean_prompt_tokens)) + 1),
+            answer=min(420, int(rng.expovariate(1 / engine.mean_answer_tokens)) + 1),
             data_centre=rng.choice(data_centres),
             may_cross=False,
         )
--- a/packages/core/fulmarward_core/layers/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/layers/tests/test_decisions.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from fulmarward_core.fleet import LayerRange, count_kv_capacity
+from fulmarward_core.fleet import LayerRange, compute_kv_capacity
 from fulmarward_core.layers import (
     count_holders,
     find_gaps,
@@ -134,7 +134,7 @@
             seed=1,
         )
         self.assertEqual(result.refused, 0)
-        all_slow_s = ENGINE.step_ms * 15 * ENGINE.usual_answer / 1000
+        all_slow_s = ENGINE.step_ms * 15 * ENGINE.mean_answer_tokens / 1000
         self.assertLess(result.mean_s, all_slow_s)
 
     def test_fast_engines_of_a_data_centre_hold_adjacent_layers(self):
@@ -160,7 +160,7 @@
             for target in planned:
                 if target.kind != "large":
                     continue
-                room = count_kv_capacity(ENGINE, KINDS["large"], len(target.layers))
+                room = compute_kv_capacity(ENGINE, KINDS["large"], len(target.layers))
                 requests = room / len(target.layers) / 926
                 self.assertGreaterEqual(requests, 36 + instances)
 
@@ -323,7 +323,7 @@
         after = _apply_orders(fleet, orders)
         self.assertEqual(find_gaps(ENGINE.layers, _list_ranges(after, "c")), [])
         for target in after:
-            room = count_kv_capacity(ENGINE, KINDS[target.kind], len(target.layers))
+            room = compute_kv_capacity(ENGINE, KINDS[target.kind], len(target.layers))
             room /= len(target.layers)
             self.assertGreaterEqual(room, MIN_KV_TOKENS - 1)
 
@@ -413,7 +413,7 @@
         for order in orders:
             after = order.assignment.layers
             kind = next(t.kind for t in left if t.name == order.assignment.target)
-            room = count_kv_capacity(ENGINE, KINDS[kind], len(after)) / len(after)
+            room = compute_kv_capacity(ENGINE, KINDS[kind], len(after)) / len(after)
             self.assertGreaterEqual(room, GAP_KV_TOKENS[-1] - 1)
 
     def _check_held(self, before, during):
--- a/packages/core/fulmarward_core/leases/__init__.py
+++ b/packages/core/fulmarward_core/leases/__init__.py
@@ -10,18 +10,18 @@
     LeaseWritten,
     Phase,
     ReplyLost,
-    StoreOut,
+    StoreUnavailable,
 )
 from fulmarward_core.leases.decisions import (
     Step,
     StepKind,
+    abandon_lease,
+    apply_event,
     choose_step,
-    drop_hold,
     may_order,
     may_order_in_outage,
-    note_asking,
-    take_event,
-    take_store_state,
+    record_write,
+    update_store_state,
 )
 
 __all__ = [
@@ -36,12 +36,12 @@
     "ReplyLost",
     "Step",
     "StepKind",
-    "StoreOut",
+    "StoreUnavailable",
     "choose_step",
-    "drop_hold",
+    "abandon_lease",
     "may_order",
     "may_order_in_outage",
-    "note_asking",
-    "take_event",
-    "take_store_state",
+    "record_write",
+    "apply_event",
+    "update_store_state",
 ]
--- a/packages/core/fulmarward_core/leases/_types.py
+++ b/packages/core/fulmarward_core/leases/_types.py
@@ -45,7 +45,7 @@
         return self.term_s * (1 - self.drift) - self.margin_s
 
     @property
-    def waited_s(self) -> float:
+    def takeover_wait_s(self) -> float:
         """Seconds that a successor waits after it first read the row."""
         return self.term_s * (1 + self.drift)
 
@@ -108,8 +108,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class StoreOut:
+class StoreUnavailable:
     """The platform did not accept the request."""
 
 
-LeaseEvent = LeaseRead | LeaseWritten | ReplyLost | StoreOut
+LeaseEvent = LeaseRead | LeaseWritten | ReplyLost | StoreUnavailable
--- a/packages/core/fulmarward_core/leases/decisions.py
+++ b/packages/core/fulmarward_core/leases/decisions.py
@@ -13,7 +13,7 @@
     LeaseWritten,
     Phase,
     ReplyLost,
-    StoreOut,
+    StoreUnavailable,
 )
 
 #: Share of the term after which a holder renews. Leaves time for two more attempts.
@@ -59,7 +59,7 @@
 OUTAGE_DETECTION_S = 2.0
 
 
-def take_store_state(state: LeaseState, *, is_out: bool, now: float) -> LeaseState:
+def update_store_state(state: LeaseState, *, is_out: bool, now: float) -> LeaseState:
     """Update the state with whether no instance reaches the store.
 
     To be called at least once a second. If the lease expires while the store answers
@@ -117,7 +117,7 @@
 def _step_watching(
     state: LeaseState, terms: LeaseTerms, token: str, wanted: bool, now: float
 ) -> Step:
-    free_from = state.unchanged_since + terms.waited_s
+    free_from = state.unchanged_since + terms.takeover_wait_s
     is_free = not state.lease.holder or now >= free_from
     if not (wanted and is_free):
         return Step(kind=StepKind.WAIT, until=free_from)
@@ -151,7 +151,7 @@
     return Step(kind=StepKind.WRITE, lease=lease, version=state.version)
 
 
-def note_asking(state: LeaseState, step: Step, *, now: float) -> LeaseState:
+def record_write(state: LeaseState, step: Step, *, now: float) -> LeaseState:
     """Record the start time of a write, from which the term of the lease counts.
 
     A write that releases the lease ends the holding at once and discards earlier
@@ -168,7 +168,7 @@
     )
 
 
-def drop_hold(state: LeaseState) -> LeaseState:
+def abandon_lease(state: LeaseState) -> LeaseState:
     """Stop holding the lease; the row is read next."""
     return replace(
         state,
@@ -179,7 +179,7 @@
     )
 
 
-def take_event(
+def apply_event(
     state: LeaseState, terms: LeaseTerms, event: LeaseEvent, *, now: float
 ) -> LeaseState:
     """Return the state after an event; `now` is when its reply was received."""
@@ -228,7 +228,7 @@
 
 
 def _keep_state(
-    state: LeaseState, terms: LeaseTerms, event: StoreOut, now: float
+    state: LeaseState, terms: LeaseTerms, event: StoreUnavailable, now: float
 ) -> LeaseState:
     return state
 
@@ -237,5 +237,5 @@
     LeaseRead: _apply_row,
     LeaseWritten: _apply_row,
     ReplyLost: _become_unsure,
-    StoreOut: _keep_state,
+    StoreUnavailable: _keep_state,
 }
--- a/packages/core/fulmarward_core/leases/tests/test_machine.py
+++ b/packages/core/fulmarward_core/leases/tests/test_machine.py
@@ -12,11 +12,11 @@
     LeaseWritten,
     ReplyLost,
     StepKind,
-    StoreOut,
+    StoreUnavailable,
+    apply_event,
     choose_step,
     may_order,
-    note_asking,
-    take_event,
+    record_write,
 )
 
 _TERMS = LeaseTerms(term_s=10.0, drift=0.03, margin_s=0.2)
@@ -59,7 +59,7 @@
     def _apply(self, instance, event):
         state = self.states[instance]
         now = self._now(instance)
-        self.states[instance] = take_event(state, _TERMS, event, now=now)
+        self.states[instance] = apply_event(state, _TERMS, event, now=now)
 
     def _commit(self, write):
         if write.version != self.version:
@@ -92,16 +92,16 @@
         if step.kind is StepKind.READ:
             event = LeaseRead(lease=self.row, version=self.version)
             self.time += delay
-            self._apply(instance, StoreOut() if outcome == "refused" else event)
+            self._apply(instance, StoreUnavailable() if outcome == "refused" else event)
         if step.kind is StepKind.WRITE:
             self._write(instance, step, delay, outcome)
 
     def _write(self, instance, step, delay, outcome):
         state = self.states[instance]
-        self.states[instance] = note_asking(state, step, now=self._now(instance))
+        self.states[instance] = record_write(state, step, now=self._now(instance))
         write = _Write(instance, step.lease, step.version)
         if outcome == "refused":
-            self._apply(instance, StoreOut())
+            self._apply(instance, StoreUnavailable())
             return
         if outcome == "late":
             self.late_writes.append(write)
--- a/packages/core/fulmarward_core/loads/__init__.py
+++ b/packages/core/fulmarward_core/loads/__init__.py
@@ -1,7 +1,7 @@
 """Load of each target, from own reservations and reports of peers."""
 
 from fulmarward_core.loads._ledger import (
-    HubLoads,
+    HubReport,
     LoadLedger,
     LoadSnapshot,
     Reservation,
@@ -9,7 +9,7 @@
 from fulmarward_core.loads._sums import Load, TargetLoad
 
 __all__ = [
-    "HubLoads",
+    "HubReport",
     "Load",
     "LoadLedger",
     "LoadSnapshot",
--- a/packages/core/fulmarward_core/loads/_ledger.py
+++ b/packages/core/fulmarward_core/loads/_ledger.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HubLoads:
+class HubReport:
     """Report of a hub on the combined loads of all instances."""
 
     #: Name of the hub.
@@ -151,13 +151,13 @@
         """Replace the load that a peer reports for itself."""
         _merge(self._peer_reports, self._peer_sum, peer, loads, now)
 
-    def merge_centre(
+    def merge_data_centre(
         self, data_centre: str, loads: Mapping[str, Load], *, now: float
     ) -> None:
         """Replace the combined load of all instances of another data centre."""
         _merge(self._centre_reports, self._centre_sum, data_centre, loads, now)
 
-    def merge_fleet(self, report: HubLoads, *, now: float) -> bool:
+    def merge_hub_report(self, report: HubReport, *, now: float) -> bool:
         """Apply a hub's report on the loads of all instances, including this one.
 
         Return whether it was applied: a report of changes is unusable without a
@@ -200,12 +200,12 @@
         for target in changed | {*self._peer_sum.loads, *self._centre_sum.loads}:
             self._refresh(target)
 
-    def find_centre_load(self, data_centre: str) -> Mapping[str, Load]:
+    def find_data_centre_load(self, data_centre: str) -> Mapping[str, Load]:
         """Return the last reported load of another data centre."""
         known = self._centre_reports.get(data_centre)
         return {} if known is None else known.loads
 
-    def sum_nearby(self, *, now: float) -> dict[str, TargetLoad]:
+    def sum_linked(self, *, now: float) -> dict[str, TargetLoad]:
         """Return the load by target of this instance and its directly linked peers."""
         self._expire(now)
         total = dict(self._peer_sum.loads)
--- a/packages/core/fulmarward_core/loads/tests/test_loads.py
+++ b/packages/core/fulmarward_core/loads/tests/test_loads.py
@@ -84,13 +84,13 @@
                 ledger.merge_report(f"peer-{number}", loads, now=now)
                 reported[number] = (now, loads)
             elif step == "centre":
-                ledger.merge_centre(f"centre-{number}", loads, now=now)
+                ledger.merge_data_centre(f"centre-{number}", loads, now=now)
                 centres[number] = (now, loads)
             elif reservations:
                 ledger.release(reservations.pop())
             linked = [ledger.list_own(), *_list_unexpired(reported, now)]
             all_reports = [*linked, *_list_unexpired(centres, now)]
-            self.assertEqual(ledger.sum_nearby(now=now), _sum_one_by_one(linked))
+            self.assertEqual(ledger.sum_linked(now=now), _sum_one_by_one(linked))
             self.assertEqual(ledger.sum_loads(now=now), _sum_one_by_one(all_reports))
             for target in "abcdef":
                 expected = _sum_one_by_one(all_reports).get(target, TargetLoad())
@@ -120,7 +120,7 @@
         # sums of other data centres, a remote target looks idle and gets all requests.
         ledger = LoadLedger()
         ledger.merge_report("peer", {"a": TargetLoad(running=2)}, now=0.0)
-        ledger.merge_centre("far", {"a": TargetLoad(running=7)}, now=0.0)
+        ledger.merge_data_centre("far", {"a": TargetLoad(running=7)}, now=0.0)
         self.assertEqual(ledger.sum_loads(now=0.1)["a"].running, 9)
-        self.assertEqual(ledger.sum_nearby(now=0.1)["a"].running, 2)
+        self.assertEqual(ledger.sum_linked(now=0.1)["a"].running, 2)
         self.assertEqual(ledger.sum_loads(now=9.0), {})
--- a/packages/core/fulmarward_core/membership/__init__.py
+++ b/packages/core/fulmarward_core/membership/__init__.py
@@ -2,17 +2,25 @@
 
 from fulmarward_core.membership._types import (
     Incarnation,
-    Listed,
+    ListedInstance,
     Member,
     MemberState,
     MemberTable,
-    Miss,
+    MissAction,
+)
+from fulmarward_core.membership.decisions._failure_detection import (
+    choose_miss_action,
+    choose_probers,
+    downgrade_member,
+    find_dead,
+    forget_dead,
+    restart_suspicions,
 )
 from fulmarward_core.membership.decisions._listing import (
     choose_list_delay,
-    list_strangers,
+    list_unconnected_addresses,
     list_usable,
-    take_list,
+    update_listed,
 )
 from fulmarward_core.membership.decisions._neighbours import (
     choose_heartbeat,
@@ -20,44 +28,36 @@
 )
 from fulmarward_core.membership.decisions._rumours import (
     combine_digests,
+    dequeue_rumours,
     is_newer,
     merge_member,
     refute_rumour,
     select_differing,
-    take_rumours,
-)
-from fulmarward_core.membership.decisions._silence import (
-    choose_probers,
-    find_dead,
-    forget_dead,
-    forgive_silence,
-    judge_miss,
-    worsen_member,
 )
 
 __all__ = [
     "Incarnation",
-    "Listed",
+    "ListedInstance",
     "Member",
     "MemberState",
     "MemberTable",
-    "Miss",
+    "MissAction",
     "choose_heartbeat",
     "choose_list_delay",
     "choose_probers",
     "combine_digests",
     "find_dead",
     "forget_dead",
-    "forgive_silence",
+    "restart_suspicions",
     "is_newer",
-    "judge_miss",
-    "list_strangers",
+    "choose_miss_action",
+    "list_unconnected_addresses",
     "list_usable",
     "merge_member",
     "refute_rumour",
     "select_differing",
     "select_neighbours",
-    "take_list",
-    "take_rumours",
-    "worsen_member",
+    "update_listed",
+    "dequeue_rumours",
+    "downgrade_member",
 ]
--- a/packages/core/fulmarward_core/membership/_types.py
+++ b/packages/core/fulmarward_core/membership/_types.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Listed:
+class ListedInstance:
     """An instance on the platform's list."""
 
     name: str
@@ -55,7 +55,7 @@
     is_leaving: bool
 
 
-class Miss(Enum):
+class MissAction(Enum):
     """What to do after a heartbeat without an answer."""
 
     #: Repeat the heartbeat: a single missed one proves little.
@@ -77,12 +77,12 @@
     #: When each dead member was declared dead, in seconds on the steady clock.
     dead_at: dict[str, float] = field(default_factory=dict)
     #: Remaining transmissions of each recent change, by member name.
-    untold: dict[str, int] = field(default_factory=dict)
+    pending_transmissions: dict[str, int] = field(default_factory=dict)
     #: Digest of each bucket, without dead members.
     digests: list[int] = field(default_factory=lambda: [0] * BUCKETS)
     #: Incremented with every change of `members`.
     revision: int = 0
     #: The entries of the last platform list, by name.
-    listed: dict[str, Listed] = field(default_factory=dict)
+    listed: dict[str, ListedInstance] = field(default_factory=dict)
     #: Since when each member has been absent from the platform's list.
     unlisted_at: dict[str, float] = field(default_factory=dict)
--- a/packages/core/fulmarward_core/membership/decisions/_silence.py
+++ b/packages/core/fulmarward_core/membership/decisions/_failure_detection.py
@@ -7,7 +7,7 @@
     Member,
     MemberState,
     MemberTable,
-    Miss,
+    MissAction,
 )
 from fulmarward_core.membership.decisions._rumours import set_member
 
@@ -34,15 +34,15 @@
 UNLISTED_S = 60.0
 
 
-def judge_miss(misses: int, *, is_refused: bool) -> Miss:
+def choose_miss_action(misses: int, *, is_refused: bool) -> MissAction:
     """Return what to do after `misses` consecutive heartbeats without an answer.
 
     A refused connection shows that no process is listening, which a timeout does not:
     a repetition would be useless.
     """
     if is_refused or misses >= MAX_MISSES:
-        return Miss.ASK_OTHERS
-    return Miss.TRY_AGAIN
+        return MissAction.ASK_OTHERS
+    return MissAction.TRY_AGAIN
 
 
 def choose_probers(
@@ -62,7 +62,7 @@
     return generator.sample(others, min(PROBER_COUNT, len(others)))
 
 
-def worsen_member(member: Member) -> Member:
+def downgrade_member(member: Member) -> Member:
     """Return the entry of a member that no prober reached.
 
     A leaving member is declared dead at once, any other one is suspected first.
@@ -92,13 +92,13 @@
     ]
     for name in names:
         del table.dead_at[name]
-        table.untold.pop(name, None)
+        table.pending_transmissions.pop(name, None)
         table.unlisted_at.pop(name, None)
         set_member(table, name, None)
     return names
 
 
-def forgive_silence(table: MemberTable, *, now: float) -> None:
+def restart_suspicions(table: MemberTable, *, now: float) -> None:
     """Restart the timer of every suspicion.
 
     Guards against an instance that was paused: all suspicions look expired to it,
--- a/packages/core/fulmarward_core/membership/decisions/_listing.py
+++ b/packages/core/fulmarward_core/membership/decisions/_listing.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Sequence
 
 from fulmarward_core.membership._types import (
-    Listed,
+    ListedInstance,
     Member,
     MemberState,
     MemberTable,
@@ -23,7 +23,9 @@
 MAX_LIST_INTERVAL_S = 120.0
 
 
-def take_list(table: MemberTable, listed: Iterable[Listed], *, now: float) -> None:
+def update_listed(
+    table: MemberTable, listed: Iterable[ListedInstance], *, now: float
+) -> None:
     """Store the platform's list and update since when members are absent from it.
 
     The list lags: it may name dead instances and lack new ones. It is only a hint and
@@ -52,7 +54,7 @@
     ]
 
 
-def list_strangers(table: MemberTable, seeds: Sequence[str]) -> list[str]:
+def list_unconnected_addresses(table: MemberTable, seeds: Sequence[str]) -> list[str]:
     """Return the addresses of possible instances that are not live members.
 
     Guards against a network partition that lasted so long that each side considers the
--- a/packages/core/fulmarward_core/membership/decisions/_rumours.py
+++ b/packages/core/fulmarward_core/membership/decisions/_rumours.py
@@ -91,26 +91,30 @@
     """
     known = table.members.get(rumour.name)
     if not is_newer(rumour, known):
-        if rumour == known and table.untold.get(rumour.name, 0) > 1:
-            table.untold[rumour.name] -= 1
+        if rumour == known and table.pending_transmissions.get(rumour.name, 0) > 1:
+            table.pending_transmissions[rumour.name] -= 1
         return False
     if known is None and len(table.members) >= MAX_MEMBERS:
         return False
     set_member(table, rumour.name, rumour)
     _note_since(table.suspected_at, rumour, MemberState.SUSPECT, now)
     _note_since(table.dead_at, rumour, MemberState.DEAD, now)
-    table.untold[rumour.name] = count_transmissions(len(table.members))
+    table.pending_transmissions[rumour.name] = count_transmissions(len(table.members))
     return True
 
 
-def take_rumours(table: MemberTable) -> tuple[Member, ...]:
+def dequeue_rumours(table: MemberTable) -> tuple[Member, ...]:
     """Return the rumours for the next message, the least often sent first."""
-    names = sorted(table.untold, key=table.untold.__getitem__, reverse=True)
+    names = sorted(
+        table.pending_transmissions,
+        key=table.pending_transmissions.__getitem__,
+        reverse=True,
+    )
     names = names[:MAX_RUMOURS_PER_MESSAGE]
     for name in names:
-        table.untold[name] -= 1
-        if table.untold[name] <= 0:
-            del table.untold[name]
+        table.pending_transmissions[name] -= 1
+        if table.pending_transmissions[name] <= 0:
+            del table.pending_transmissions[name]
     return tuple(table.members[name] for name in names if name in table.members)
 
 
--- a/packages/core/fulmarward_core/membership/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/membership/tests/test_decisions.py
@@ -3,24 +3,24 @@
 from hypothesis import given, strategies as st
 
 from fulmarward_core.membership import (
-    Listed,
+    ListedInstance,
     Member,
     MemberState,
     MemberTable,
-    Miss,
+    MissAction,
+    choose_miss_action,
     combine_digests,
+    dequeue_rumours,
+    downgrade_member,
     find_dead,
     forget_dead,
-    forgive_silence,
-    judge_miss,
-    list_strangers,
+    list_unconnected_addresses,
     merge_member,
     refute_rumour,
+    restart_suspicions,
     select_differing,
     select_neighbours,
-    take_list,
-    take_rumours,
-    worsen_member,
+    update_listed,
 )
 
 
@@ -81,10 +81,10 @@
         # it dead some seconds later unless the instance refutes that.
         table = MemberTable(own_name="z")
         merge_member(table, _make_member(), now=0.0)
-        self.assertIs(judge_miss(1, is_refused=False), Miss.TRY_AGAIN)
-        self.assertIs(judge_miss(2, is_refused=False), Miss.ASK_OTHERS)
+        self.assertIs(choose_miss_action(1, is_refused=False), MissAction.TRY_AGAIN)
+        self.assertIs(choose_miss_action(2, is_refused=False), MissAction.ASK_OTHERS)
         self.assertEqual(find_dead(table, now=100.0), [])
-        suspect = worsen_member(table.members["a"])
+        suspect = downgrade_member(table.members["a"])
         self.assertIs(suspect.state, MemberState.SUSPECT)
         merge_member(table, suspect, now=3.1)
         self.assertEqual(find_dead(table, now=6.0), [])
@@ -96,30 +96,32 @@
     def test_special_cases(self):
         # Refused connections, leaving members and unlisted suspects are decided without
         # a delay. A pause of this instance itself does not make other members dead.
-        self.assertIs(judge_miss(1, is_refused=True), Miss.ASK_OTHERS)
+        self.assertIs(choose_miss_action(1, is_refused=True), MissAction.ASK_OTHERS)
         leaving = _make_member(state=MemberState.LEAVING)
-        self.assertIs(worsen_member(leaving).state, MemberState.DEAD)
+        self.assertIs(downgrade_member(leaving).state, MemberState.DEAD)
         table = MemberTable(own_name="z")
         merge_member(table, _make_member(state=MemberState.SUSPECT), now=100.0)
-        take_list(table, [], now=30.0)
+        update_listed(table, [], now=30.0)
         self.assertEqual(len(find_dead(table, now=100.5)), 1)
-        take_list(table, [], now=100.0)
+        update_listed(table, [], now=100.0)
         table.unlisted_at.clear()
         self.assertEqual(len(find_dead(table, now=200.0)), 1)
-        forgive_silence(table, now=200.0)
+        restart_suspicions(table, now=200.0)
         self.assertEqual(find_dead(table, now=200.5), [])
 
     def test_dead_members_are_forgotten_and_their_addresses_tried(self):
         table = MemberTable(own_name="z")
         merge_member(table, _make_member(name="z"), now=0.0)
         merge_member(table, _make_member(state=MemberState.DEAD), now=0.0)
-        listed = [Listed(name="n", peer_address="n:1", is_leaving=False)]
-        take_list(table, listed, now=0.0)
-        self.assertEqual(list_strangers(table, ["s:1", "z:1"]), ["a:1", "n:1", "s:1"])
+        listed = [ListedInstance(name="n", peer_address="n:1", is_leaving=False)]
+        update_listed(table, listed, now=0.0)
+        self.assertEqual(
+            list_unconnected_addresses(table, ["s:1", "z:1"]), ["a:1", "n:1", "s:1"]
+        )
         self.assertEqual(forget_dead(table, now=299.0), [])
         self.assertEqual(forget_dead(table, now=301.0), ["a"])
         self.assertEqual(set(table.members), {"z"})
-        self.assertEqual(list_strangers(table, []), ["n:1"])
+        self.assertEqual(list_unconnected_addresses(table, []), ["n:1"])
 
 
 class RefuteRumourTest(unittest.TestCase):
@@ -161,7 +163,7 @@
         for rumour in rumours:
             merge_member(table, rumour, now=0.0)
         sent_names = []
-        while batch := take_rumours(table):
+        while batch := dequeue_rumours(table):
             sent_names += [member.name for member in batch]
         self.assertEqual(set(sent_names), set(table.members))
         self.assertLessEqual(len(sent_names), 6 * len(table.members))
--- a/packages/core/fulmarward_core/membership/tests/test_parted.py
+++ b/packages/core/fulmarward_core/membership/tests/test_partition.py
@@ -6,15 +6,15 @@
     Member,
     MemberState,
     MemberTable,
+    dequeue_rumours,
+    downgrade_member,
     find_dead,
     forget_dead,
-    list_strangers,
+    list_unconnected_addresses,
     merge_member,
     refute_rumour,
     select_differing,
     select_neighbours,
-    take_rumours,
-    worsen_member,
 )
 
 _NAMES = [f"i{number}" for number in range(8)]
@@ -50,7 +50,9 @@
     def suspect(self, name, unreachable):
         """Have one instance suspect members that neither it nor probers reach."""
         table = self.tables[name]
-        self.receive(name, [worsen_member(table.members[item]) for item in unreachable])
+        self.receive(
+            name, [downgrade_member(table.members[item]) for item in unreachable]
+        )
 
     def pass_time(self, seconds):
         self.now += seconds
@@ -70,10 +72,13 @@
         for _ in range(20):
             for name, table in self.tables.items():
                 for neighbour in select_neighbours(table):
-                    self.receive(neighbour, take_rumours(table))
+                    self.receive(neighbour, dequeue_rumours(table))
                     other = self.tables[neighbour]
-                    self.receive(name, take_rumours(other))
-                    if not table.untold and table.digests != other.digests:
+                    self.receive(name, dequeue_rumours(other))
+                    if (
+                        not table.pending_transmissions
+                        and table.digests != other.digests
+                    ):
                         self.synchronize(name, neighbour)
 
     def read_states(self):
@@ -106,7 +111,9 @@
             fleet.pass_time(seconds / 20)
         seeds = [f"{name}:1" for name in _NAMES]
         first, second = generator.choice(halves[0]), generator.choice(halves[1])
-        self.assertIn(f"{second}:1", list_strangers(fleet.tables[first], seeds))
+        self.assertIn(
+            f"{second}:1", list_unconnected_addresses(fleet.tables[first], seeds)
+        )
         fleet.synchronize(first, second)
         fleet.exchange_heartbeats()
         alive = dict.fromkeys(_NAMES, MemberState.ALIVE)
--- a/packages/core/fulmarward_core/overlay/__init__.py
+++ b/packages/core/fulmarward_core/overlay/__init__.py
@@ -2,8 +2,8 @@
 
 from fulmarward_core.overlay.decisions import (
     FULL_MESH,
-    HUBS,
-    TRIED,
+    HUBS_PER_DATA_CENTRE,
+    TRIED_PER_TURN,
     Node,
     choose_hubs,
     choose_links,
@@ -12,8 +12,8 @@
 
 __all__ = [
     "FULL_MESH",
-    "HUBS",
-    "TRIED",
+    "HUBS_PER_DATA_CENTRE",
+    "TRIED_PER_TURN",
     "Node",
     "choose_hubs",
     "choose_links",
--- a/packages/core/fulmarward_core/overlay/decisions.py
+++ b/packages/core/fulmarward_core/overlay/decisions.py
@@ -14,10 +14,10 @@
 FULL_MESH = 16
 
 #: Number of hubs per data centre. If one fails, the other one takes over.
-HUBS = 2
+HUBS_PER_DATA_CENTRE = 2
 
 #: Number of instances tried at a time if no live hub of a data centre is known.
-TRIED = 4
+TRIED_PER_TURN = 4
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -36,7 +36,7 @@
 def choose_hubs(nodes: Iterable[Node], data_centre: str) -> list[str]:
     """Return the names of a data centre's hubs: its first live instances by name."""
     names = [n.name for n in nodes if n.data_centre == data_centre and n.is_alive]
-    return sorted(names)[:HUBS]
+    return sorted(names)[:HUBS_PER_DATA_CENTRE]
 
 
 def choose_links(own: Node, others: Sequence[Node], *, turn: int = 0) -> frozenset[str]:
@@ -92,5 +92,5 @@
     names = sorted(node.name for node in silent)
     if not names:
         return []
-    start = turn * TRIED % len(names)
-    return (names + names)[start : start + min(TRIED, len(names))]
+    start = turn * TRIED_PER_TURN % len(names)
+    return (names + names)[start : start + min(TRIED_PER_TURN, len(names))]
--- a/packages/core/fulmarward_core/overlay/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/overlay/tests/test_decisions.py
@@ -5,8 +5,8 @@
 
 from fulmarward_core.overlay import (
     FULL_MESH,
-    HUBS,
-    TRIED,
+    HUBS_PER_DATA_CENTRE,
+    TRIED_PER_TURN,
     Node,
     choose_hubs,
     choose_links,
@@ -66,7 +66,9 @@
             name[0] != other[0] for name, chosen in links.items() for other in chosen
         )
         # A full mesh has 3,936 links between data centres.
-        self.assertEqual(cross_links, 3 * HUBS * 2 * HUBS)
+        self.assertEqual(
+            cross_links, 3 * HUBS_PER_DATA_CENTRE * 2 * HUBS_PER_DATA_CENTRE
+        )
 
     def test_next_instance_replaces_a_dead_hub(self):
         fleet = _make_fleet({"a": 9, "b": 9}, dead={"a00", "b01"})
@@ -81,7 +83,7 @@
         dead = {f"b{number:02}" for number in range(9)}
         own, *others = _make_fleet({"a": 9, "b": 9}, dead=dead)
         turns = [choose_links(own, others, turn=turn) & dead for turn in range(5)]
-        self.assertEqual({len(tried) for tried in turns}, {TRIED})
+        self.assertEqual({len(tried) for tried in turns}, {TRIED_PER_TURN})
         self.assertEqual(frozenset().union(*turns), dead)
         other = replace(own, name="a05")
         self.assertEqual(choose_links(other, [own, *others]) & dead, frozenset())
--- a/packages/core/fulmarward_core/paces/__init__.py
+++ b/packages/core/fulmarward_core/paces/__init__.py
@@ -5,7 +5,13 @@
     REPORT_DURATION_S,
     Pace,
     PaceTable,
-    SlowSigns,
+    SlowStreamDetector,
 )
 
-__all__ = ["MIN_SLOWDOWN", "REPORT_DURATION_S", "Pace", "PaceTable", "SlowSigns"]
+__all__ = [
+    "MIN_SLOWDOWN",
+    "REPORT_DURATION_S",
+    "Pace",
+    "PaceTable",
+    "SlowStreamDetector",
+]
--- a/packages/core/fulmarward_core/paces/_table.py
+++ b/packages/core/fulmarward_core/paces/_table.py
@@ -66,7 +66,7 @@
         }
 
 
-class SlowSigns:
+class SlowStreamDetector:
     """Detects from the pauses of one stream that a target on its path is slow."""
 
     def __init__(self) -> None:
--- a/packages/core/fulmarward_core/paces/tests/test_table.py
+++ b/packages/core/fulmarward_core/paces/tests/test_table.py
@@ -1,6 +1,6 @@
 import unittest
 
-from fulmarward_core.paces import REPORT_DURATION_S, PaceTable, SlowSigns
+from fulmarward_core.paces import REPORT_DURATION_S, PaceTable, SlowStreamDetector
 
 
 class PaceTableTest(unittest.TestCase):
@@ -28,7 +28,7 @@
 
 class SlowSignsTest(unittest.TestCase):
     def _is_slow(self, pauses, silent_s=0.02, *, has_begun=True):
-        signs = SlowSigns()
+        signs = SlowStreamDetector()
         for pause in pauses:
             signs.note_pause(pause)
         return signs.is_slow(
--- a/packages/core/fulmarward_core/paths/decisions.py
+++ b/packages/core/fulmarward_core/paths/decisions.py
@@ -126,7 +126,7 @@
     #: Share of the planned KV cache that it may fill.
     kv_share: float = 1.0
     #: How targets in other data centres are weighted.
-    far: RemoteTerms = DIRECT_TERMS
+    remote: RemoteTerms = DIRECT_TERMS
 
 
 def compute_preference(instance: str, target: str) -> float:
@@ -262,7 +262,7 @@
         """Return whether a crossing path may replace the one that was found."""
         if end is None:
             return True
-        if not search.request.far.may_cross_for_cost:
+        if not search.request.remote.may_cross_for_cost:
             return False
         crossing_ms = search.estimate_crossing_ms(self._min_delay_ms)
         return self._fleet_bound.estimate_ms(search.request) + crossing_ms < end.cost
@@ -275,7 +275,9 @@
             key=lambda centre: (centre != request.data_centre, centre),
         )
         for centre in centres:
-            far_ms = 0.0 if centre == request.data_centre else request.far.first_hop_ms
+            far_ms = (
+                0.0 if centre == request.data_centre else request.remote.first_hop_ms
+            )
             lower_bound_ms = far_ms + self._bounds[centre].estimate_ms(request)
             if cheapest is not None and lower_bound_ms >= cheapest.cost:
                 continue
@@ -382,7 +384,7 @@
             crossing_ms = 0.0
             if origin != centre:
                 if is_start:
-                    crossing_ms = self.request.far.first_hop_ms
+                    crossing_ms = self.request.remote.first_hop_ms
                 elif not self.request.may_cross:
                     continue
                 else:
@@ -423,7 +425,7 @@
             return None
         required = self._tokens * (stage.layers.end - stage.layers.start)
         is_near = stage.data_centre == self.request.data_centre
-        planned = USABLE_KV_SHARE if is_near else self.request.far.usable_kv_share
+        planned = USABLE_KV_SHARE if is_near else self.request.remote.usable_kv_share
         planned *= self.request.kv_share
         if occupancy.kv_reserved + required > stage.kv_capacity * planned:
             return None
--- a/packages/core/fulmarward_core/paths/tests/exhaustive.py
+++ b/packages/core/fulmarward_core/paths/tests/exhaustive.py
@@ -95,7 +95,7 @@
         return False
     required = tokens * len(stage.layers)
     is_near = stage.data_centre == request.data_centre
-    planned = USABLE_KV_SHARE if is_near else request.far.usable_kv_share
+    planned = USABLE_KV_SHARE if is_near else request.remote.usable_kv_share
     planned *= request.kv_share
     return stage.kv_reserved + required <= stage.kv_capacity * planned
 
@@ -113,7 +113,7 @@
         if stage.first_running >= engine.slots:
             return
         is_far = stage.data_centre != request.data_centre
-        crossing_ms = request.far.first_hop_ms if is_far else 0.0
+        crossing_ms = request.remote.first_hop_ms if is_far else 0.0
     elif stage.data_centre != path.data_centre and not request.may_cross:
         return
     else:
--- a/packages/core/fulmarward_core/paths/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/paths/tests/test_decisions.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings, strategies as st
 
 from fulmarward_core.codec.tests.calls import count_calls
-from fulmarward_core.fleet import LayerRange, count_kv_capacity
+from fulmarward_core.fleet import LayerRange, compute_kv_capacity
 from fulmarward_core.layers.tests.fleets import ENGINE, KINDS
 from fulmarward_core.paths import (
     DIRECT_TERMS,
@@ -32,7 +32,7 @@
         data_centre=centre,
         kind=KINDS[kind],
         layers=layers,
-        kv_capacity=float(count_kv_capacity(ENGINE, KINDS[kind], len(layers))),
+        kv_capacity=float(compute_kv_capacity(ENGINE, KINDS[kind], len(layers))),
         kv_reserved=0.0,
         running=0,
         first_running=0,
@@ -73,7 +73,7 @@
     avoided=st.frozensets(st.sampled_from(["t0", "t1", "t2"]), max_size=2),
     may_cross=st.booleans(),
     kv_share=st.sampled_from([1.0, 0.85]),
-    far=st.sampled_from([DIRECT_TERMS, HUB_TERMS]),
+    remote=st.sampled_from([DIRECT_TERMS, HUB_TERMS]),
 )
 
 
@@ -140,7 +140,7 @@
             first = Hop(target=stage.target, address=stage.address, layers=stage.layers)
             request = replace(request, first=first)
         expected = None
-        if request.first is None and not request.far.may_cross_for_cost:
+        if request.first is None and not request.remote.may_cross_for_cost:
             within = replace(request, may_cross=False)
             expected = choose_path_exhaustively(ENGINE, stages, within)
         if expected is None:
@@ -166,7 +166,7 @@
             self.assertTrue(path is None or is_crossing)
             return
         cheapest = find_cheapest_exhaustively(ENGINE, stages, request)
-        may_cross = request.far.may_cross_for_cost
+        may_cross = request.remote.may_cross_for_cost
         self.assertEqual(is_crossing, may_cross and cheapest.cost < best.cost)
 
 
@@ -230,7 +230,7 @@
         path = choose_path(engine, slow + fast, _REQUEST)
         self.assertEqual(_list_targets(path), ["fast0", "fast40"])
         narrow = replace(ENGINE, pipe_mbps=1e3)
-        known_through_hubs = replace(_REQUEST, far=HUB_TERMS)
+        known_through_hubs = replace(_REQUEST, remote=HUB_TERMS)
         for other, request in ((narrow, _REQUEST), (engine, known_through_hubs)):
             path = choose_path(other, slow + fast, request)
             self.assertNotIn("fast40", _list_targets(path))
@@ -242,7 +242,7 @@
         fast = make_chain("b", "b")
         for terms, expected in ((DIRECT_TERMS, "b"), (HUB_TERMS, "a")):
             with self.subTest(terms=terms):
-                path = choose_path(ENGINE, slow + fast, replace(_REQUEST, far=terms))
+                path = choose_path(ENGINE, slow + fast, replace(_REQUEST, remote=terms))
                 self.assertEqual(_list_targets(path)[0][0], expected)
 
     def test_crossing_path_is_chosen_if_there_is_no_other(self):
--- a/packages/core/fulmarward_core/placement/__init__.py
+++ b/packages/core/fulmarward_core/placement/__init__.py
@@ -3,12 +3,12 @@
 from fulmarward_core.placement._types import (
     Action,
     ActionKind,
+    DesiredState,
     EngineState,
-    Held,
     Outcomes,
+    ReportedState,
     Rollout,
     RolloutPhase,
-    Wanted,
 )
 from fulmarward_core.placement._window import (
     OutcomeWindow,
@@ -22,7 +22,7 @@
     has_soaked,
     has_whole_chain,
     leaves_whole_chain,
-    list_wanted,
+    list_desired_states,
     needs_load,
     plan_actions,
 )
@@ -31,12 +31,12 @@
     "Action",
     "ActionKind",
     "EngineState",
-    "Held",
+    "ReportedState",
     "OutcomeWindow",
     "Outcomes",
     "Rollout",
     "RolloutPhase",
-    "Wanted",
+    "DesiredState",
     "add_outcomes",
     "advance_rollout",
     "can_serve",
@@ -45,7 +45,7 @@
     "has_whole_chain",
     "leaves_whole_chain",
     "list_outcomes",
-    "list_wanted",
+    "list_desired_states",
     "needs_load",
     "plan_actions",
 ]
--- a/packages/core/fulmarward_core/placement/_types.py
+++ b/packages/core/fulmarward_core/placement/_types.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Wanted:
+class DesiredState:
     """The desired state of a target.
 
     An order carries the complete state, so sending it again is harmless.
@@ -22,11 +22,11 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Held:
+class ReportedState:
     """The state that an engine reports."""
 
     #: The current state, or the state before a load that is in progress.
-    state: Wanted
+    state: DesiredState
     #: The highest fencing number that the engine has seen.
     fencing: int
     #: Whether it is loading weights, during which it serves no requests.
@@ -38,9 +38,9 @@
     """One engine of a pool as seen by the holder of the pool's lease."""
 
     name: str
-    wanted: Wanted
+    wanted: DesiredState
     #: The reported state; `None` if the engine does not answer.
-    held: Held | None
+    held: ReportedState | None
     #: Number of requests running and waiting on the engine.
     load: int
     #: Whether a source other than placement reports that it is leaving.
--- a/packages/core/fulmarward_core/placement/decisions.py
+++ b/packages/core/fulmarward_core/placement/decisions.py
@@ -7,12 +7,12 @@
 from fulmarward_core.placement._types import (
     Action,
     ActionKind,
+    DesiredState,
     EngineState,
-    Held,
     Outcomes,
+    ReportedState,
     Rollout,
     RolloutPhase,
-    Wanted,
 )
 
 #: Targets of a pool that load weights at the same time. After an outage all targets of
@@ -40,7 +40,7 @@
 
 
 def can_serve(
-    held: Held | None,
+    held: ReportedState | None,
     *,
     model: str,
     versions: Collection[str],
@@ -66,11 +66,11 @@
     )
 
 
-def list_wanted(declaration: Declaration, pool: str) -> dict[str, Wanted]:
+def list_desired_states(declaration: Declaration, pool: str) -> dict[str, DesiredState]:
     """Return the desired state of each engine of the pool (the model's name)."""
     model = declaration.models[pool]
     return {
-        name: Wanted(
+        name: DesiredState(
             model=pool,
             version=model.serving,
             layers=target.layers,
@@ -98,7 +98,7 @@
     return _identify_weights(engine.held.state) != _identify_weights(engine.wanted)
 
 
-def _identify_weights(state: Wanted) -> tuple[object, ...]:
+def _identify_weights(state: DesiredState) -> tuple[object, ...]:
     return (state.model, state.version, state.layers)
 
 
--- a/packages/core/fulmarward_core/placement/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/placement/tests/test_decisions.py
@@ -5,12 +5,12 @@
 
 from fulmarward_core.placement import (
     ActionKind,
+    DesiredState,
     EngineState,
-    Held,
     Outcomes,
+    ReportedState,
     Rollout,
     RolloutPhase,
-    Wanted,
     add_outcomes,
     advance_rollout,
     can_serve,
@@ -33,14 +33,14 @@
 
 
 def _make_engine(name, *, version="v1", layers=(0, 24), model="m", **changes):
-    wanted = Wanted(
+    wanted = DesiredState(
         model="m", version="v2", layers=layers, adapters=("a",), role="serving"
     )
     state = replace(wanted, version=version, model=model)
     engine = EngineState(
         name=name,
         wanted=wanted,
-        held=Held(state=state, fencing=1, is_loading=False),
+        held=ReportedState(state=state, fencing=1, is_loading=False),
         load=0,
         is_leaving=False,
         is_draining=False,
@@ -71,7 +71,9 @@
 
 def _finish(engine):
     return replace(
-        engine, held=Held(state=engine.wanted, fencing=1, is_loading=False), load=0
+        engine,
+        held=ReportedState(state=engine.wanted, fencing=1, is_loading=False),
+        load=0,
     )
 
 
--- a/packages/core/fulmarward_core/platform/__init__.py
+++ b/packages/core/fulmarward_core/platform/__init__.py
@@ -1,23 +1,27 @@
 """Rate limit and circuit breaker for the calls of an instance to the platform."""
 
 from fulmarward_core.platform._types import (
+    Admitted,
     Bucket,
     CallKind,
-    Circuit,
-    Gate,
-    Refused,
-    Wait,
+    CallLimiter,
+    CircuitState,
+    Rejected,
+)
+from fulmarward_core.platform.decisions import (
+    admit_call,
+    record_failure,
+    record_success,
 )
-from fulmarward_core.platform.decisions import admit_call, note_failure, note_success
 
 __all__ = [
     "Bucket",
     "CallKind",
-    "Circuit",
-    "Gate",
-    "Refused",
-    "Wait",
+    "CircuitState",
+    "CallLimiter",
+    "Rejected",
+    "Admitted",
     "admit_call",
-    "note_failure",
-    "note_success",
+    "record_failure",
+    "record_success",
 ]
--- a/packages/core/fulmarward_core/platform/_types.py
+++ b/packages/core/fulmarward_core/platform/_types.py
@@ -11,7 +11,7 @@
     WRITE = "write"
 
 
-class Circuit(Enum):
+class CircuitState(Enum):
     """State of the circuit breaker."""
 
     #: All calls are admitted.
@@ -33,10 +33,10 @@
 
 
 @dataclass(kw_only=True)
-class Gate:
+class CallLimiter:
     """State of the circuit breaker and the rate limits of an instance."""
 
-    circuit: Circuit = Circuit.CLOSED
+    circuit: CircuitState = CircuitState.CLOSED
     #: Number of consecutive failures.
     failures: int = 0
     #: When the next probe may start.
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Wait:
+class Admitted:
     """The call is admitted and starts after a delay."""
 
     #: Delay; 0 to start immediately.
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Refused:
+class Rejected:
     """The call is rejected; nothing of it was sent."""
 
     #: Reason code for logs.
--- a/packages/core/fulmarward_core/platform/decisions.py
+++ b/packages/core/fulmarward_core/platform/decisions.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 
 from fulmarward_core.platform._types import (
+    Admitted,
     Bucket,
     CallKind,
-    Circuit,
-    Gate,
-    Refused,
-    Wait,
+    CallLimiter,
+    CircuitState,
+    Rejected,
 )
 
 #: Maximum calls a second of all instances (330) together. The platform can serve two
@@ -42,82 +42,89 @@
 
 
 def admit_call(
-    gate: Gate, kind: CallKind, *, instances: int, is_for_operator: bool, now: float
-) -> Wait | Refused:
+    limiter: CallLimiter,
+    kind: CallKind,
+    *,
+    instances: int,
+    is_for_operator: bool,
+    now: float,
+) -> Admitted | Rejected:
     """Return whether and when a call may start, with `instances` alive in the fleet.
 
     Calls for operators bypass the circuit breaker: they are rare, people wait for them,
     and the platform's actual response is more useful than a rejection.
     """
     if not is_for_operator:
-        rejection = _ADMIT[gate.circuit](gate, now)
+        rejection = _ADMIT[limiter.circuit](limiter, now)
         if rejection is not None:
             return rejection
-    return _take_token(gate, kind, instances=instances, now=now)
+    return _take_token(limiter, kind, instances=instances, now=now)
 
 
-def _admit_closed(gate: Gate, now: float) -> Refused | None:
+def _admit_closed(limiter: CallLimiter, now: float) -> Rejected | None:
     return None
 
 
-def _admit_open(gate: Gate, now: float) -> Refused | None:
+def _admit_open(limiter: CallLimiter, now: float) -> Rejected | None:
     """Admit a single call as the probe once the open time has passed."""
-    if now < gate.next_probe_at:
-        return Refused(reason="circuit_open")
-    gate.circuit = Circuit.PROBING
-    gate.next_probe_at = now + MAX_OPEN_S
+    if now < limiter.next_probe_at:
+        return Rejected(reason="circuit_open")
+    limiter.circuit = CircuitState.PROBING
+    limiter.next_probe_at = now + MAX_OPEN_S
     return None
 
 
-def _admit_probing(gate: Gate, now: float) -> Refused | None:
+def _admit_probing(limiter: CallLimiter, now: float) -> Rejected | None:
     """Reject calls during a probe; a probe without a reported result times out."""
-    if now < gate.next_probe_at:
-        return Refused(reason="circuit_probing")
-    return _admit_open(gate, now)
+    if now < limiter.next_probe_at:
+        return Rejected(reason="circuit_probing")
+    return _admit_open(limiter, now)
 
 
-_ADMIT: dict[Circuit, Callable[[Gate, float], Refused | None]] = {
-    Circuit.CLOSED: _admit_closed,
-    Circuit.OPEN: _admit_open,
-    Circuit.PROBING: _admit_probing,
+_ADMIT: dict[CircuitState, Callable[[CallLimiter, float], Rejected | None]] = {
+    CircuitState.CLOSED: _admit_closed,
+    CircuitState.OPEN: _admit_open,
+    CircuitState.PROBING: _admit_probing,
 }
 
 
 def _take_token(
-    gate: Gate, kind: CallKind, *, instances: int, now: float
-) -> Wait | Refused:
+    limiter: CallLimiter, kind: CallKind, *, instances: int, now: float
+) -> Admitted | Rejected:
     rate = max(FLEET_CALLS_PER_S[kind] / max(instances, 1), MIN_CALLS_PER_S[kind])
     burst = max(MIN_BURST, rate)
-    bucket = gate.buckets.setdefault(kind, Bucket(tokens=burst, refilled_at=now))
+    bucket = limiter.buckets.setdefault(kind, Bucket(tokens=burst, refilled_at=now))
     refill = max(now - bucket.refilled_at, 0.0) * rate
     bucket.tokens = min(bucket.tokens + refill, burst)
     bucket.refilled_at = max(now, bucket.refilled_at)
     seconds = max(1.0 - bucket.tokens, 0.0) / rate
     if seconds > MAX_DELAY_S:
-        return Refused(reason="over_budget")
+        return Rejected(reason="over_budget")
     bucket.tokens -= 1.0
-    return Wait(seconds=seconds)
+    return Admitted(seconds=seconds)
 
 
-def note_success(gate: Gate) -> None:
+def record_success(limiter: CallLimiter) -> None:
     """Close the circuit; after an outage, also empty the buckets.
 
     Prevents a thundering herd at the end of an outage: instances resume at their
     sustained rate, without a burst.
     """
-    if gate.circuit is not Circuit.CLOSED:
-        for bucket in gate.buckets.values():
+    if limiter.circuit is not CircuitState.CLOSED:
+        for bucket in limiter.buckets.values():
             bucket.tokens = min(bucket.tokens, 0.0)
-    gate.circuit = Circuit.CLOSED
-    gate.failures = 0
+    limiter.circuit = CircuitState.CLOSED
+    limiter.failures = 0
 
 
-def note_failure(gate: Gate, *, now: float, generator: random.Random) -> None:
+def record_failure(
+    limiter: CallLimiter, *, now: float, generator: random.Random
+) -> None:
     """Count a failure, and open the circuit for a random time if there are too many."""
-    gate.failures += 1
-    if gate.circuit is Circuit.CLOSED and gate.failures < FAILURES_TO_OPEN:
+    limiter.failures += 1
+    if limiter.circuit is CircuitState.CLOSED and limiter.failures < FAILURES_TO_OPEN:
         return
-    doublings = max(gate.failures - FAILURES_TO_OPEN, 0)
+    doublings = max(limiter.failures - FAILURES_TO_OPEN, 0)
     open_s = min(INITIAL_OPEN_S * 2 ** min(doublings, 10), MAX_OPEN_S)
-    gate.circuit = Circuit.OPEN
-    gate.next_probe_at = now + open_s * generator.uniform(0.5, 1.0)
+    limiter.circuit = CircuitState.OPEN
+    limiter.next_probe_at = now + open_s * generator.uniform(0.5, 1.0)
--- a/packages/core/fulmarward_core/platform/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/platform/tests/test_decisions.py
@@ -5,14 +5,14 @@
 from hypothesis import given, strategies as st
 
 from fulmarward_core.platform import (
+    Admitted,
     CallKind,
-    Circuit,
-    Gate,
-    Refused,
-    Wait,
+    CallLimiter,
+    CircuitState,
+    Rejected,
     admit_call,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 from fulmarward_core.platform.decisions import (
     FAILURES_TO_OPEN,
@@ -23,9 +23,9 @@
 )
 
 
-def _admit(gate, now, *, kind=CallKind.READ, instances=330, is_for_operator=False):
+def _admit(limiter, now, *, kind=CallKind.READ, instances=330, is_for_operator=False):
     return admit_call(
-        gate, kind, instances=instances, is_for_operator=is_for_operator, now=now
+        limiter, kind, instances=instances, is_for_operator=is_for_operator, now=now
     )
 
 
@@ -35,24 +35,24 @@
         # minute: 330 instances constantly have calls for it and could all call at once,
         # which causes the next outage.
         generator = random.Random(1)
-        gates = [Gate() for _ in range(330)]
+        limiters = [CallLimiter() for _ in range(330)]
         pending = [(generator.uniform(0, 0.1), index) for index in range(330)]
         heapq.heapify(pending)
         calls = [0] * 80
         while pending[0][0] < 80:
             now, index = heapq.heappop(pending)
-            gate = gates[index]
-            decision = _admit(gate, now)
+            limiter = limiters[index]
+            decision = _admit(limiter, now)
             heapq.heappush(pending, (now + generator.uniform(0.05, 0.15), index))
-            if isinstance(decision, Refused):
+            if isinstance(decision, Rejected):
                 continue
             started = now + decision.seconds
             if started < 80:
                 calls[int(started)] += 1
             if 20 <= started < 50:
-                note_failure(gate, now=now, generator=generator)
+                record_failure(limiter, now=now, generator=generator)
             else:
-                note_success(gate)
+                record_success(limiter)
         self.assertLess(max(calls[26:50]), 200)
         after = calls[50:80]
         self.assertLessEqual(max(after), FLEET_CALLS_PER_S[CallKind.READ] * 1.05)
@@ -64,11 +64,11 @@
         st.lists(st.floats(0, 0.5), min_size=1, max_size=60),
     )
     def test_calls_of_an_instance_respect_its_rate(self, instances, kind, pauses):
-        gate, now, started = Gate(), 0.0, []
+        limiter, now, started = CallLimiter(), 0.0, []
         for pause in pauses:
             now += pause
-            decision = _admit(gate, now, kind=kind, instances=instances)
-            if isinstance(decision, Wait):
+            decision = _admit(limiter, now, kind=kind, instances=instances)
+            if isinstance(decision, Admitted):
                 self.assertLessEqual(decision.seconds, MAX_DELAY_S)
                 started.append(now + decision.seconds)
         rate = max(
@@ -80,25 +80,25 @@
                 self.assertLessEqual(count, burst + rate * (last - first) + 1.01)
 
     def test_circuit_opens_probes_and_closes(self):
-        gate, generator = Gate(), random.Random(1)
+        limiter, generator = CallLimiter(), random.Random(1)
         for _ in range(FAILURES_TO_OPEN):
-            self.assertIsInstance(_admit(gate, 0.0), Wait)
-            note_failure(gate, now=0.0, generator=generator)
-        self.assertEqual(_admit(gate, 0.0), Refused(reason="circuit_open"))
-        self.assertIsInstance(_admit(gate, 0.0, is_for_operator=True), Wait)
-        self.assertIsInstance(_admit(gate, 1.0), Wait)
-        self.assertEqual(_admit(gate, 1.0), Refused(reason="circuit_probing"))
-        note_failure(gate, now=1.0, generator=generator)
-        self.assertIs(gate.circuit, Circuit.OPEN)
-        self.assertIsInstance(_admit(gate, 1.0 + MAX_OPEN_S), Wait)
-        note_success(gate)
-        self.assertEqual((gate.circuit, gate.failures), (Circuit.CLOSED, 0))
+            self.assertIsInstance(_admit(limiter, 0.0), Admitted)
+            record_failure(limiter, now=0.0, generator=generator)
+        self.assertEqual(_admit(limiter, 0.0), Rejected(reason="circuit_open"))
+        self.assertIsInstance(_admit(limiter, 0.0, is_for_operator=True), Admitted)
+        self.assertIsInstance(_admit(limiter, 1.0), Admitted)
+        self.assertEqual(_admit(limiter, 1.0), Rejected(reason="circuit_probing"))
+        record_failure(limiter, now=1.0, generator=generator)
+        self.assertIs(limiter.circuit, CircuitState.OPEN)
+        self.assertIsInstance(_admit(limiter, 1.0 + MAX_OPEN_S), Admitted)
+        record_success(limiter)
+        self.assertEqual((limiter.circuit, limiter.failures), (CircuitState.CLOSED, 0))
 
     def test_probe_without_a_result_does_not_block_calls_forever(self):
         # Guards against a probe call that is cancelled together with its request: its
         # result is never reported, and every later call would be rejected.
-        gate, generator = Gate(), random.Random(1)
+        limiter, generator = CallLimiter(), random.Random(1)
         for _ in range(FAILURES_TO_OPEN):
-            note_failure(gate, now=0.0, generator=generator)
-        self.assertIsInstance(_admit(gate, 1.0), Wait)
-        self.assertIsInstance(_admit(gate, 1.0 + MAX_OPEN_S), Wait)
+            record_failure(limiter, now=0.0, generator=generator)
+        self.assertIsInstance(_admit(limiter, 1.0), Admitted)
+        self.assertIsInstance(_admit(limiter, 1.0 + MAX_OPEN_S), Admitted)
--- a/packages/core/fulmarward_core/quotas/_retries.py
+++ b/packages/core/fulmarward_core/quotas/_retries.py
@@ -40,7 +40,7 @@
     #: Whether a retry was taken from the budget.
     is_taken: bool
     #: When to poll again, in seconds on the monotonic clock; `None` to stop polling.
-    ask_at: float | None = None
+    poll_at: float | None = None
 
 
 class RetryBudget:
@@ -92,7 +92,7 @@
         """Unregister an answer that no longer waits, with or without a retry."""
         self._waiting.remove(until)
 
-    def take_turn(self, *, until: float, share: float, now: float) -> RetryDecision:
+    def poll_retry(self, *, until: float, share: float, now: float) -> RetryDecision:
         """Take a retry for a waiting answer, or return when to poll again.
 
         Answers with the earliest `until` are served first.
@@ -102,8 +102,8 @@
             return RetryDecision(is_taken=True)
         if now >= until:
             return RetryDecision(is_taken=False)
-        ask_at = min(until, self._find_next_poll(now))
-        return RetryDecision(is_taken=False, ask_at=ask_at)
+        poll_at = min(until, self._find_next_poll(now))
+        return RetryDecision(is_taken=False, poll_at=poll_at)
 
     def _find_next_poll(self, now: float) -> float:
         """Return when a retry may be available, or the latest time to poll again."""
--- a/packages/core/fulmarward_core/quotas/tests/test_retries.py
+++ b/packages/core/fulmarward_core/quotas/tests/test_retries.py
@@ -58,15 +58,15 @@
                 waiting.remove(entry)
                 _, until, place = entry
                 budget = budgets[place]
-                decision = budget.take_turn(until=until, share=1 / instances, now=now)
+                decision = budget.poll_retry(until=until, share=1 / instances, now=now)
                 if decision.is_taken:
                     retries.append(now)
-                if decision.ask_at is None:
+                if decision.poll_at is None:
                     budget.end_wait(until=until)
                 else:
-                    self.assertGreater(decision.ask_at, now)
-                    self.assertLessEqual(decision.ask_at, until)
-                    waiting.append((decision.ask_at, until, place))
+                    self.assertGreater(decision.poll_at, now)
+                    self.assertLessEqual(decision.poll_at, until)
+                    waiting.append((decision.poll_at, until, place))
 
         for number, (kind, passed, patience_s) in enumerate(steps):
             now += passed
@@ -100,8 +100,8 @@
             taken += 1
         return taken
 
-    def take_turn(self, until, now):
-        return self.budget.take_turn(until=until, share=1.0, now=now)
+    def poll_retry(self, until, now):
+        return self.budget.poll_retry(until=until, share=1.0, now=now)
 
     def test_unstarted_requests_leave_a_part_to_started_ones(self):
         # Unstarted requests used up the share, and a started answer was truncated
@@ -125,40 +125,40 @@
         self.budget.begin_wait(until=11.0)
         now, polls = 9.47, 0
         while True:
-            decision = self.take_turn(11.0, now)
+            decision = self.poll_retry(11.0, now)
             if decision.is_taken:
                 break
-            now, polls = decision.ask_at, polls + 1
+            now, polls = decision.poll_at, polls + 1
         self.assertAlmostEqual(now, 10.0)
         self.assertLessEqual(polls, 7)
 
     def test_answer_stops_polling_at_its_time_limit(self):
         self.take_all(now=9.0)
         self.budget.begin_wait(until=11.0)
-        self.assertAlmostEqual(self.take_turn(11.0, 10.95).ask_at, 11.0)
-        last = self.take_turn(11.0, 11.0)
-        self.assertEqual((last.is_taken, last.ask_at), (False, None))
+        self.assertAlmostEqual(self.poll_retry(11.0, 10.95).poll_at, 11.0)
+        last = self.poll_retry(11.0, 11.0)
+        self.assertEqual((last.is_taken, last.poll_at), (False, None))
 
     def test_answer_past_its_time_limit_still_gets_an_available_retry(self):
         # Its target stalled for long before it failed; a retry is available.
         self.budget.begin_wait(until=1.0)
-        self.assertTrue(self.take_turn(1.0, 2.0).is_taken)
+        self.assertTrue(self.poll_retry(1.0, 2.0).is_taken)
 
     def test_answer_with_the_earliest_limit_is_served_first(self):
         self.take_all(now=0.0)
         for until in (11.5, 10.5):
             self.budget.begin_wait(until=until)
-        self.assertFalse(self.take_turn(11.5, 10.0).is_taken)
-        self.assertTrue(self.take_turn(10.5, 10.01).is_taken)
+        self.assertFalse(self.poll_retry(11.5, 10.0).is_taken)
+        self.assertTrue(self.poll_retry(10.5, 10.01).is_taken)
         self.budget.end_wait(until=10.5)
-        self.assertTrue(self.take_turn(11.5, 10.02).is_taken)
+        self.assertTrue(self.poll_retry(11.5, 10.02).is_taken)
 
     def test_unregistered_answer_does_not_block_others(self):
         self.take_all(now=0.0)
         for until in (10.5, 11.5):
             self.budget.begin_wait(until=until)
         self.budget.end_wait(until=10.5)
-        self.assertTrue(self.take_turn(11.5, 10.0).is_taken)
+        self.assertTrue(self.poll_retry(11.5, 10.0).is_taken)
 
     def test_availability_is_checked_without_taking_a_retry(self):
         self.assertTrue(self.budget.has_retry(share=1.0, now=0.0))
--- a/packages/core/fulmarward_core/requests/decisions.py
+++ b/packages/core/fulmarward_core/requests/decisions.py
@@ -4,11 +4,16 @@
 from typing import Any
 
 from fulmarward_core.requests._events import EventBatch, StreamEvent
-from fulmarward_core.results import Failure, Ran
+from fulmarward_core.results import ExecutionState, Failure
 
 #: Precedence of outcomes when several attempts are combined; the highest applies. Once
 #: one attempt has run, "not run" and "unknown" are false for the request.
-_RAN_PRECEDENCE = {Ran.NOT_RUN: 0, Ran.UNKNOWN: 1, Ran.FAILED: 2, Ran.COMPLETE: 3}
+_RAN_PRECEDENCE = {
+    ExecutionState.NOT_RUN: 0,
+    ExecutionState.UNKNOWN: 1,
+    ExecutionState.FAILED: 2,
+    ExecutionState.COMPLETE: 3,
+}
 
 
 def parse_events(
--- a/packages/core/fulmarward_core/results/__init__.py
+++ b/packages/core/fulmarward_core/results/__init__.py
@@ -3,7 +3,7 @@
 from fulmarward_core.results._codes import (
     CODES,
     CodeEntry,
-    Ran,
+    ExecutionState,
     ResultCode,
     render_codes_page,
 )
@@ -13,7 +13,7 @@
     "CODES",
     "CodeEntry",
     "Failure",
-    "Ran",
+    "ExecutionState",
     "ResultCode",
     "make_failure",
     "render_codes_page",
--- a/packages/core/fulmarward_core/results/_codes.py
+++ b/packages/core/fulmarward_core/results/_codes.py
@@ -10,7 +10,7 @@
 from enum import Enum, IntEnum
 
 
-class Ran(Enum):
+class ExecutionState(Enum):
     """Whether a request was executed, as far as the reporting instance knows."""
 
     #: No part of the request was executed; a retry is safe.
@@ -79,7 +79,7 @@
     status: int
     #: The `type` member of the error object, as client libraries expect it.
     type: str
-    ran: Ran
+    ran: ExecutionState
     #: Exit status of the commands `fulmarctl` and `fulmarward`.
     exit_status: int
     #: A sentence for callers and operators.
@@ -87,7 +87,7 @@
 
 
 def _make_entry(
-    status: int, error_type: str, ran: Ran, exit_status: int, meaning: str
+    status: int, error_type: str, ran: ExecutionState, exit_status: int, meaning: str
 ) -> CodeEntry:
     return CodeEntry(
         status=status,
@@ -103,10 +103,10 @@
 _SERVER = "server_error"
 _OPERATOR = "operator_error"
 _NOT_RUN, _FAILED, _DONE, _UNKNOWN = (
-    Ran.NOT_RUN,
-    Ran.FAILED,
-    Ran.COMPLETE,
-    Ran.UNKNOWN,
+    ExecutionState.NOT_RUN,
+    ExecutionState.FAILED,
+    ExecutionState.COMPLETE,
+    ExecutionState.UNKNOWN,
 )
 
 #: The entries of all result codes.
--- a/packages/core/fulmarward_core/results/_outcomes.py
+++ b/packages/core/fulmarward_core/results/_outcomes.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from fulmarward_core.results._codes import CODES, Ran, ResultCode
+from fulmarward_core.results._codes import CODES, ExecutionState, ResultCode
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -16,7 +16,7 @@
     retry_after_ms: int | None = None
 
     @property
-    def ran(self) -> Ran:
+    def ran(self) -> ExecutionState:
         """Whether the request was executed."""
         return CODES[self.code].ran
 
--- a/packages/core/fulmarward_core/results/tests/test_codes.py
+++ b/packages/core/fulmarward_core/results/tests/test_codes.py
@@ -1,7 +1,7 @@
 import unittest
 from pathlib import Path
 
-from fulmarward_core.results import CODES, Ran, ResultCode, render_codes_page
+from fulmarward_core.results import CODES, ExecutionState, ResultCode, render_codes_page
 
 _PAGE = Path(__file__).parents[5] / "docs" / "RESULT-CODES.md"
 
@@ -17,7 +17,7 @@
         for code, entry in CODES.items():
             with self.subTest(code=code.name):
                 if 3000 <= code < 5000:
-                    self.assertIsNot(entry.ran, Ran.NOT_RUN)
+                    self.assertIsNot(entry.ran, ExecutionState.NOT_RUN)
 
     def test_exit_statuses_are_valid(self):
         for code, entry in CODES.items():
--- a/packages/core/fulmarward_core/routes/_types.py
+++ b/packages/core/fulmarward_core/routes/_types.py
@@ -96,4 +96,4 @@
     limits: CallerLimits
     teams_by_key: Mapping[str, Team] = field(default_factory=dict)
     #: Whether routes that are not public require a team key.
-    has_teams: bool = False
+    requires_team_key: bool = False
--- a/packages/core/fulmarward_core/routes/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/routes/tests/test_decisions.py
@@ -39,7 +39,7 @@
     services={},
     limits=CallerLimits(header_bytes=1, body_bytes=1, header_s=1, idle_s=1),
     teams_by_key={"k": Team(name="t", priority=1)},
-    has_teams=True,
+    requires_team_key=True,
 )
 
 
--- a/packages/core/fulmarward_core/routing/__init__.py
+++ b/packages/core/fulmarward_core/routing/__init__.py
@@ -1,11 +1,11 @@
 """Choice of the target for a request."""
 
 from fulmarward_core.routing._types import (
-    PLAIN_ASK,
-    Ask,
+    DEFAULT_PROFILE,
     Choice,
     LoadReport,
     PoolSpeed,
+    RequestProfile,
     TargetView,
 )
 from fulmarward_core.routing.decisions import (
@@ -16,8 +16,8 @@
 )
 
 __all__ = [
-    "PLAIN_ASK",
-    "Ask",
+    "DEFAULT_PROFILE",
+    "RequestProfile",
     "Choice",
     "LoadReport",
     "PoolSpeed",
--- a/packages/core/fulmarward_core/routing/_types.py
+++ b/packages/core/fulmarward_core/routing/_types.py
@@ -4,7 +4,7 @@
 
 from fulmarward_core.declaration import Target
 from fulmarward_core.performance import Performance
-from fulmarward_core.placement import Held
+from fulmarward_core.placement import ReportedState
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -40,7 +40,7 @@
     #: Until when it gets no work after a failure, in seconds on the monotonic clock.
     avoided_until: float = float("-inf")
     #: What it reports to hold; `None` before its first report.
-    held: Held | None = None
+    held: ReportedState | None = None
     #: Prefixes that its cache probably holds, each with its expiry in seconds on the
     #: monotonic clock. Bounded. Cache events arrive late and with gaps, so this is only
     #: a hint.
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ask:
+class RequestProfile:
     """Properties of a request that matter for the choice of its target."""
 
     #: Number of prompt tokens.
@@ -72,7 +72,7 @@
 
 
 #: A request with unknown properties, such as a call of a plain service.
-PLAIN_ASK = Ask()
+DEFAULT_PROFILE = RequestProfile()
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/core/fulmarward_core/routing/decisions.py
+++ b/packages/core/fulmarward_core/routing/decisions.py
@@ -6,10 +6,10 @@
 
 from fulmarward_core.performance import get_limit
 from fulmarward_core.routing._types import (
-    PLAIN_ASK,
-    Ask,
+    DEFAULT_PROFILE,
     Choice,
     PoolSpeed,
+    RequestProfile,
     TargetView,
 )
 
@@ -56,7 +56,7 @@
     data_centre: str,
     now: float,
     generator: random.Random,
-    ask: Ask = PLAIN_ASK,
+    profile: RequestProfile = DEFAULT_PROFILE,
     remote_costs: Mapping[str, float] | None = None,
 ) -> Choice | None:
     """Return the choice among `candidates`, or `None` if none is available.
@@ -65,12 +65,12 @@
     `remote_costs` is the extra cost in seconds by data centre, `REMOTE_PENALTY_S` for
     those not in it.
     """
-    available = _list_available(candidates, ask, now)
+    available = _list_available(candidates, profile, now)
     if not available:
         return None
     loads = {view.name: estimate_load(view, now=now) for view in available}
-    below_limit = _list_below_limit(available, loads, ask)
-    cached = _count_usable_cached(below_limit or available, loads, ask, now)
+    below_limit = _list_below_limit(available, loads, profile)
+    cached = _count_usable_cached(below_limit or available, loads, profile, now)
     sampled = _sample_candidates(
         below_limit or available, cached, data_centre, generator
     )
@@ -78,7 +78,7 @@
     costs = remote_costs or {}
     scored = []
     for index, view in enumerate(sampled):
-        score = _score_view(view, loads[view.name], cached[view.name], speed, ask)
+        score = _score_view(view, loads[view.name], cached[view.name], speed, profile)
         if view.target.data_centre != data_centre:
             score += costs.get(view.target.data_centre, REMOTE_PENALTY_S)
         scored.append((score, index, view))
@@ -102,7 +102,7 @@
 
 
 def _list_available(
-    candidates: Sequence[TargetView], ask: Ask, now: float
+    candidates: Sequence[TargetView], profile: RequestProfile, now: float
 ) -> list[TargetView]:
     """Return the targets that may get the request.
 
@@ -116,7 +116,7 @@
         view
         for place, view in enumerate(remaining)
         if (place < min_available or _get_available_at(view) <= now)
-        and view.name not in ask.tried
+        and view.name not in profile.tried
     ]
 
 
@@ -125,14 +125,14 @@
 
 
 def _list_below_limit(
-    views: Sequence[TargetView], loads: Mapping[str, float], ask: Ask
+    views: Sequence[TargetView], loads: Mapping[str, float], profile: RequestProfile
 ) -> list[TargetView]:
     below_limit = [
         view
         for view in views
         if view.in_flight < get_limit(view.performance, slots=view.target.slots)
     ]
-    if ask.may_probe:
+    if profile.may_probe:
         return below_limit
     unprobed = [view for view in below_limit if not view.performance.probes_left]
     return unprobed or below_limit
@@ -146,24 +146,27 @@
     return view.in_flight + others * freshness
 
 
-def count_cached(view: TargetView, ask: Ask, *, now: float) -> int:
+def count_cached(view: TargetView, profile: RequestProfile, *, now: float) -> int:
     """Return the prompt tokens that the target has probably cached."""
     if not view.cached_prefixes:
         return 0
-    for place in range(len(ask.prefixes), 0, -1):
-        if view.cached_prefixes.get(ask.prefixes[place - 1], now) > now:
-            return place * ask.prefix_tokens
+    for place in range(len(profile.prefixes), 0, -1):
+        if view.cached_prefixes.get(profile.prefixes[place - 1], now) > now:
+            return place * profile.prefix_tokens
     return 0
 
 
 def _count_usable_cached(
-    views: Sequence[TargetView], loads: Mapping[str, float], ask: Ask, now: float
+    views: Sequence[TargetView],
+    loads: Mapping[str, float],
+    profile: RequestProfile,
+    now: float,
 ) -> dict[str, int]:
     """Return the cached prompt tokens by target; none for overloaded targets."""
     mean = sum(loads[view.name] for view in views) / len(views)
     max_load = mean * CACHE_IMBALANCE + CACHE_FREE_REQUESTS
     return {
-        view.name: count_cached(view, ask, now=now)
+        view.name: count_cached(view, profile, now=now)
         if loads[view.name] <= max_load
         else 0
         for view in views
@@ -189,23 +192,27 @@
 
 
 def _score_view(
-    view: TargetView, load: float, cached: int, speed: PoolSpeed, ask: Ask
+    view: TargetView,
+    load: float,
+    cached: int,
+    speed: PoolSpeed,
+    profile: RequestProfile,
 ) -> float:
     """Return the expected completion time, with penalties for failures and lateness."""
     slots = view.target.slots
-    uncached = max(0, ask.prompt_tokens - cached)
+    uncached = max(0, profile.prompt_tokens - cached)
     token_s = view.performance.token_s or speed.token_s
-    service_s = uncached * view.performance.prefill_s + ask.output_tokens * token_s
+    service_s = uncached * view.performance.prefill_s + profile.output_tokens * token_s
     wait_s = max(0.0, load + 1 - slots) / slots * service_s
     score = service_s + wait_s + OCCUPANCY_PENALTY_S * load / slots
     score /= max(0.1, 1 - view.performance.failed_share)
-    is_late = service_s + wait_s > ask.slack_s
-    return score + (ask.slack_s + service_s if is_late else 0.0)
+    is_late = service_s + wait_s > profile.slack_s
+    return score + (profile.slack_s + service_s if is_late else 0.0)
 
 
 def measure_pool(views: Sequence[TargetView], *, now: float) -> PoolSpeed:
     """Return the combined capacity and speed of the available targets."""
-    available = _list_available(views, PLAIN_ASK, now)
+    available = _list_available(views, DEFAULT_PROFILE, now)
     if not available:
         return PoolSpeed(places=0, capacity=0, prefill_s=0, token_s=0)
     limits = [
--- a/packages/core/fulmarward_core/routing/tests/test_choice.py
+++ b/packages/core/fulmarward_core/routing/tests/test_choice.py
@@ -6,7 +6,12 @@
 from hypothesis import given, strategies as st
 
 from fulmarward_core.declaration import Target, TargetKind
-from fulmarward_core.routing import Ask, LoadReport, TargetView, choose_target
+from fulmarward_core.routing import (
+    LoadReport,
+    RequestProfile,
+    TargetView,
+    choose_target,
+)
 
 _TARGET = Target(
     address="127.0.0.1:1",
@@ -25,13 +30,13 @@
     return [TargetView(name=f"t{place}", target=_TARGET) for place in range(number)]
 
 
-def _choose(views, ask, seed=1, data_centre="palermo-a"):
+def _choose(views, profile, seed=1, data_centre="palermo-a"):
     return choose_target(
         candidates=views,
         data_centre=data_centre,
         now=100.0,
         generator=random.Random(seed),
-        ask=ask,
+        profile=profile,
     )
 
 
@@ -43,7 +48,7 @@
         views = _make_views(len(states))
         for view, (leaving, avoided_until) in zip(views, states, strict=True):
             view.leaving, view.avoided_until = leaving, avoided_until
-        choice = _choose(views, Ask())
+        choice = _choose(views, RequestProfile())
         self.assertEqual(choice is None, all(view.leaving for view in views))
         if choice:
             self.assertFalse(choice.chosen.leaving)
@@ -53,12 +58,12 @@
         # affinity would send everything there while the others are idle.
         views = _make_views(6)
         views[0].cached_prefixes = {"p": 1000.0}
-        ask = Ask(
+        profile = RequestProfile(
             prompt_tokens=1000, prefixes=("p",), prefix_tokens=900, output_tokens=10
         )
         chosen = Counter()
         for seed in range(60):
-            view = _choose(views, ask, seed).chosen
+            view = _choose(views, profile, seed).chosen
             view.in_flight += 1
             view.performance.limit = 16.0
             chosen[view.name] += 1
@@ -72,19 +77,23 @@
         views[0].in_flight = 3
         views[0].report = LoadReport(running=0, waiting=0, received_at=100.0)
         views[1].report = LoadReport(running=1, waiting=0, received_at=100.0)
-        self.assertEqual(_choose(views, Ask()).chosen.name, "t1")
+        self.assertEqual(_choose(views, RequestProfile()).chosen.name, "t1")
 
     def test_tried_and_probed_targets_are_skipped(self):
         views = _make_views(3)
         views[1].performance.probes_left = 2
-        ask = Ask(tried=frozenset({"t0"}), may_probe=False)
-        self.assertEqual(_choose(views, ask).chosen.name, "t2")
+        profile = RequestProfile(tried=frozenset({"t0"}), may_probe=False)
+        self.assertEqual(_choose(views, profile).chosen.name, "t2")
 
     def test_local_targets_are_preferred_until_they_are_full(self):
         views = _make_views(4)
         for view in views[2:]:
             view.target = replace(_TARGET, data_centre="catania-b")
-        self.assertEqual(_choose(views, Ask()).chosen.target.data_centre, "palermo-a")
+        self.assertEqual(
+            _choose(views, RequestProfile()).chosen.target.data_centre, "palermo-a"
+        )
         for view in views[:2]:
             view.in_flight = 4
-        self.assertEqual(_choose(views, Ask()).chosen.target.data_centre, "catania-b")
+        self.assertEqual(
+            _choose(views, RequestProfile()).chosen.target.data_centre, "catania-b"
+        )
--- a/packages/core/fulmarward_core/spread/_fetch.py
+++ b/packages/core/fulmarward_core/spread/_fetch.py
@@ -40,7 +40,7 @@
         self._open: _Fetch | None = None
         self._deferred_until: dict[str, float] = {}
 
-    def ask(self, peer: str, *, known: int, now: float) -> bool:
+    def try_start(self, peer: str, *, known: int, now: float) -> bool:
         """Start a fetch from `peer` unless one is pending; return whether to send it.
 
         `known` is the version that is known here.
@@ -52,7 +52,7 @@
         self._open = _Fetch(peer=peer, known=known, sent_at=now)
         return True
 
-    def give_up(self, *, known: int, now: float) -> FetchTimeout | None:
+    def check_timeout(self, *, known: int, now: float) -> FetchTimeout | None:
         """Abandon the fetch if it has been pending for too long, and return it."""
         if self._open is None or now - self._open.sent_at < FETCH_TIMEOUT_S:
             return None
--- a/packages/core/fulmarward_core/spread/tests/test_fetch.py
+++ b/packages/core/fulmarward_core/spread/tests/test_fetch.py
@@ -7,10 +7,10 @@
 class PendingFetchTest(unittest.TestCase):
     def setUp(self):
         self.fetch = PendingFetch()
-        self.assertTrue(self.fetch.ask("a", known=1, now=0.0))
+        self.assertTrue(self.fetch.try_start("a", known=1, now=0.0))
 
     def _ask(self, peer, now, known=1):
-        return self.fetch.ask(peer, known=known, now=now)
+        return self.fetch.try_start(peer, known=known, now=now)
 
     def test_no_other_peer_is_asked_while_a_fetch_is_pending(self):
         # Guards against saturated links: a row of half a megabyte takes longer to
@@ -24,13 +24,13 @@
         self.assertFalse(self._ask("c", 0.06, known=2))
 
     def test_fetch_times_out_and_another_peer_is_asked(self):
-        self.assertIsNone(self.fetch.give_up(known=1, now=FETCH_TIMEOUT_S - 0.01))
-        timeout = self.fetch.give_up(known=1, now=FETCH_TIMEOUT_S)
+        self.assertIsNone(self.fetch.check_timeout(known=1, now=FETCH_TIMEOUT_S - 0.01))
+        timeout = self.fetch.check_timeout(known=1, now=FETCH_TIMEOUT_S)
         self.assertEqual(timeout, FetchTimeout(peer="a", after_s=FETCH_TIMEOUT_S))
         self.assertTrue(self._ask("b", FETCH_TIMEOUT_S))
 
     def test_answered_fetch_is_not_reported_as_timed_out(self):
-        self.assertIsNone(self.fetch.give_up(known=2, now=FETCH_TIMEOUT_S))
+        self.assertIsNone(self.fetch.check_timeout(known=2, now=FETCH_TIMEOUT_S))
 
     def test_row_that_cannot_be_decoded_is_not_fetched_again_at_once(self):
         # Every peer sends the same row, and the version known here does not change.
--- a/packages/core/fulmarward_core/streams/__init__.py
+++ b/packages/core/fulmarward_core/streams/__init__.py
@@ -9,8 +9,8 @@
     digest_texts,
     make_event_id,
     open_locator,
+    parse_event_id,
     seal_locator,
-    split_event_id,
 )
 
 __all__ = [
@@ -23,5 +23,5 @@
     "make_event_id",
     "open_locator",
     "seal_locator",
-    "split_event_id",
+    "parse_event_id",
 ]
--- a/packages/core/fulmarward_core/streams/_locators.py
+++ b/packages/core/fulmarward_core/streams/_locators.py
@@ -123,7 +123,7 @@
     return f"{sealed}{digest_part}.{number}"
 
 
-def split_event_id(event_id: str) -> EventId | None:
+def parse_event_id(event_id: str) -> EventId | None:
     """Return the parts of an event id, or `None` if it is malformed."""
     head, _, number = event_id.rpartition(".")
     sealed, _, digest = head.partition("~")
--- a/packages/core/fulmarward_core/streams/tests/test_locators.py
+++ b/packages/core/fulmarward_core/streams/tests/test_locators.py
@@ -9,8 +9,8 @@
     digest_texts,
     make_event_id,
     open_locator,
+    parse_event_id,
     seal_locator,
-    split_event_id,
 )
 
 _SECRET = b"secret"
@@ -62,7 +62,7 @@
         ]
         for event_id, expected in cases:
             with self.subTest(event_id=event_id):
-                event = split_event_id(event_id)
+                event = parse_event_id(event_id)
                 found = event and (event.sealed, event.number, event.digest)
                 self.assertEqual(found, expected)
 
--- a/packages/core/fulmarward_core/suspicion/__init__.py
+++ b/packages/core/fulmarward_core/suspicion/__init__.py
@@ -1,6 +1,6 @@
 """Temporary exclusion of targets, based on direct and indirect observations."""
 
-from fulmarward_core.suspicion._refusals import ROOM_SHARE, RefusalTable
+from fulmarward_core.suspicion._refusals import LOW_OCCUPANCY_SHARE, RefusalTable
 from fulmarward_core.suspicion._table import (
     SATURATED_DURATION_S,
     SUSPECT_DURATION_S,
@@ -10,7 +10,7 @@
 
 __all__ = [
     "SATURATED_DURATION_S",
-    "ROOM_SHARE",
+    "LOW_OCCUPANCY_SHARE",
     "SUSPECT_DURATION_S",
     "RefusalTable",
     "Suspicion",
--- a/packages/core/fulmarward_core/suspicion/_refusals.py
+++ b/packages/core/fulmarward_core/suspicion/_refusals.py
@@ -16,7 +16,7 @@
 
 #: Share of a target's KV cache up to which it certainly has spare capacity. The rest
 #: covers reservations that peers made since their last heartbeat.
-ROOM_SHARE = 0.5
+LOW_OCCUPANCY_SHARE = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -65,7 +65,7 @@
         for target in targets:
             self._reported[target] = now
 
-    def list_own(self, *, now: float) -> list[str]:
+    def list_observed(self, *, now: float) -> list[str]:
         """Return the targets that this instance found leaving, to report to peers."""
         return [
             target for target, known in self._own.items() if known.show_leaving(now)
--- a/packages/core/fulmarward_core/suspicion/_table.py
+++ b/packages/core/fulmarward_core/suspicion/_table.py
@@ -157,7 +157,7 @@
         del self._suspicions[target]
         return True
 
-    def list_ending(self, *, now: float, ahead_s: float) -> list[str]:
+    def list_expiring(self, *, now: float, ahead_s: float) -> list[str]:
         """Return the unreachable targets whose suspicion ends within `ahead_s` seconds.
 
         Only targets that this instance itself found unreachable are included.
--- a/packages/core/fulmarward_core/suspicion/tests/test_refusals.py
+++ b/packages/core/fulmarward_core/suspicion/tests/test_refusals.py
@@ -41,7 +41,7 @@
         other = RefusalTable()
         for now in (0.0, 0.5):
             self.table.record_refusal("t", now=now)
-        other.merge_reports(self.table.list_own(now=1.0), now=1.0)
+        other.merge_reports(self.table.list_observed(now=1.0), now=1.0)
         self.assertTrue(other.is_refusing("t", now=1.1))
-        self.assertEqual(other.list_own(now=1.1), [], "reports are not relayed")
+        self.assertEqual(other.list_observed(now=1.1), [], "reports are not relayed")
         self.assertFalse(other.is_refusing("t", now=4.0))
--- a/packages/core/fulmarward_core/suspicion/tests/test_table.py
+++ b/packages/core/fulmarward_core/suspicion/tests/test_table.py
@@ -24,8 +24,8 @@
         table, peer_table = SuspicionTable(), SuspicionTable()
         table.record_failure("t", now=0.0)
         peer_table.record_indirect_failure("t", duration_s=SUSPECT_DURATION_S, now=0.0)
-        self.assertEqual(table.list_ending(now=0.5, ahead_s=0.8), [])
-        self.assertEqual(table.list_ending(now=1.3, ahead_s=0.8), ["t"])
+        self.assertEqual(table.list_expiring(now=0.5, ahead_s=0.8), [])
+        self.assertEqual(table.list_expiring(now=1.3, ahead_s=0.8), ["t"])
         table.extend("t", now=1.3)
         self.assertTrue(table.is_unreachable("t", now=3.2))
         remaining_s = table.list_direct_failures(now=1.5)[0].until - 1.5
@@ -40,7 +40,7 @@
         table = SuspicionTable()
         table.record_indirect_failure("reported", duration_s=1.0, now=0.0)
         table.record_saturated("full", now=0.0)
-        self.assertEqual(table.list_ending(now=0.3, ahead_s=0.8), [])
+        self.assertEqual(table.list_expiring(now=0.3, ahead_s=0.8), [])
 
     def test_reported_target_is_unreachable_only_once_confirmed_here(self):
         # Guards against a peer with a saturated link that reports healthy targets as
@@ -152,7 +152,7 @@
         table.record_failure("t", now=0.0)
         table.record_error("t", now=0.1)
         self.assertEqual([s.target for s in table.list_direct_failures(now=0.3)], ["t"])
-        self.assertEqual(table.list_ending(now=1.3, ahead_s=0.8), ["t"])
+        self.assertEqual(table.list_expiring(now=1.3, ahead_s=0.8), ["t"])
         table = SuspicionTable()
         table.record_indirect_failure("t", duration_s=2.0, now=0.0)
         table.record_error("t", now=0.1)
--- a/packages/instance/fulmarward/_daemon.py
+++ b/packages/instance/fulmarward/_daemon.py
@@ -15,7 +15,7 @@
 from fulmarward._instance import Instance
 from fulmarward._lifecycle import Lifecycle
 from fulmarward._secret_files import watch_secrets
-from fulmarward._stop import end_open, list_open
+from fulmarward._stop import fail_open_answers, list_open_answers
 from fulmarward.callers import make_caller_app
 from fulmarward.configuration import (
     answer_body,
@@ -32,11 +32,11 @@
     watch_drains,
 )
 from fulmarward.keys import (
+    answer_forwarded_call,
+    answer_forwarded_completion,
     answer_note,
     answer_record,
-    answer_take,
-    forward_answer,
-    forward_call,
+    answer_takeover,
     sweep_claims,
 )
 from fulmarward.membership import (
@@ -56,25 +56,25 @@
 )
 from fulmarward.operators import make_operator_app
 from fulmarward.peers import (
-    AskBody,
-    AskHead,
-    AskInFlight,
-    AskMembers,
-    AskOutcomes,
-    AskProbe,
+    BodyRequest,
     ForwardCall,
     ForwardCompletion,
-    HealthNews,
-    LeavingNews,
+    HeadRequest,
+    InFlightRequest,
     LeavingSync,
-    NoteKey,
+    LeavingUpdate,
+    MembersRequest,
+    OutcomesRequest,
     PeerHandlers,
     PeerLinks,
     Ping,
+    ProbeRequest,
     RecordAttempt,
     ShareDemand,
+    SummaryExchange,
     SyncMembers,
     TakeKey,
+    UpdateKeyRecord,
     serve_peers,
 )
 from fulmarward.placement import answer_in_flight, answer_outcomes, run_placement
@@ -173,22 +173,22 @@
 def _make_handlers(instance: Instance, links: PeerLinks) -> PeerHandlers:
     answers = {
         Ping: answer_ping,
-        AskMembers: answer_members,
+        MembersRequest: answer_members,
         SyncMembers: answer_sync,
-        AskProbe: partial(answer_probe, links),
-        AskHead: answer_head,
-        AskBody: answer_body,
+        ProbeRequest: partial(answer_probe, links),
+        HeadRequest: answer_head,
+        BodyRequest: answer_body,
         ShareDemand: answer_demand,
-        LeavingNews: answer_leaving,
+        LeavingUpdate: answer_leaving,
         LeavingSync: answer_leaving_sync,
-        HealthNews: answer_health,
-        AskOutcomes: answer_outcomes,
-        AskInFlight: answer_in_flight,
-        ForwardCompletion: forward_answer,
-        ForwardCall: forward_call,
+        SummaryExchange: answer_health,
+        OutcomesRequest: answer_outcomes,
+        InFlightRequest: answer_in_flight,
+        ForwardCompletion: answer_forwarded_completion,
+        ForwardCall: answer_forwarded_call,
         RecordAttempt: answer_record,
-        TakeKey: answer_take,
-        NoteKey: answer_note,
+        TakeKey: answer_takeover,
+        UpdateKeyRecord: answer_note,
     }
 
     def bind(answer):  # noqa: ANN001, ANN202
@@ -215,13 +215,13 @@
     await _wait_unless_expedited(expedited, LEAVING_NOTICE_S)
     instance.lifecycle.begin_stop()
     deadline = instance.read_clock() + instance.settings.limits.stop_ms / 1000
-    while list_open(instance) and instance.read_clock() < deadline:
+    while list_open_answers(instance) and instance.read_clock() < deadline:
         if expedited.is_set():
             break
         await asyncio.sleep(STOP_CHECK_INTERVAL_S)
-    cut_off = len(list_open(instance))
+    cut_off = len(list_open_answers(instance))
     instance.lifecycle.finish_stop()
-    await end_open(instance)
+    await fail_open_answers(instance)
     log_event("stopped", cut_off=cut_off)
 
 
@@ -244,7 +244,7 @@
     async with aiohttp.ClientSession(connector=connector) as session:
         instance = make_instance(settings, secrets, session, traces)
         links = instance.links = _make_links(instance)
-        stop, expedited = instance.stop_asked, asyncio.Event()
+        stop, expedited = instance.stop_requested, asyncio.Event()
         _watch_signals(stop, expedited)
         server = await serve_peers(instance, _make_handlers(instance, links))
         runners = [
--- a/packages/instance/fulmarward/_instance.py
+++ b/packages/instance/fulmarward/_instance.py
@@ -83,7 +83,7 @@
     #: Tasks that outlive the call that started them.
     tasks: set[asyncio.Task] = field(default_factory=set)
     #: The subset of `tasks` that tell engines to cancel work.
-    closing: set[asyncio.Task] = field(default_factory=set)
+    closing_tasks: set[asyncio.Task] = field(default_factory=set)
     #: TLS for the listeners of callers and operators.
     tls: ssl.SSLContext | None = None
     #: Teams of the snapshot by the digest of each of their keys.
@@ -91,9 +91,9 @@
     #: The highest configuration epoch known to exist.
     known_epoch: int = 0
     #: Set when a newer epoch becomes known.
-    epoch_heard: asyncio.Event = field(default_factory=asyncio.Event)
+    newer_epoch_known: asyncio.Event = field(default_factory=asyncio.Event)
     #: Address of the peer that reported it; empty if it was not a peer.
-    epoch_teller: str = ""
+    epoch_source: str = ""
     #: The clock by which pauses are detected.
     read_pause_clock: Callable[[], float] = read_pause_clock
     #: Time of the last tick on that clock; `None` before the first.
@@ -104,23 +104,23 @@
     neighbours: list[str] = field(default_factory=list)
     neighbours_revision: int = -1
     #: Set when the first round of contacting peers is over.
-    met_peers: asyncio.Event = field(default_factory=asyncio.Event)
+    peers_contacted: asyncio.Event = field(default_factory=asyncio.Event)
     #: Set and replaced when an update should be sent to the neighbours at once.
-    news_stirred: asyncio.Event = field(default_factory=asyncio.Event)
+    urgent_update: asyncio.Event = field(default_factory=asyncio.Event)
     #: Set when the instance should stop.
-    stop_asked: asyncio.Event = field(default_factory=asyncio.Event)
+    stop_requested: asyncio.Event = field(default_factory=asyncio.Event)
 
     #: Records of leaving targets.
     leaving: LeavingTable = field(default_factory=LeavingTable)
     #: Leaving records not yet sent to neighbours, and an event set when there are any.
-    unsent_news: list[LeavingRecord] = field(default_factory=list)
-    news_came: asyncio.Event = field(default_factory=asyncio.Event)
+    unsent_records: list[LeavingRecord] = field(default_factory=list)
+    records_pending: asyncio.Event = field(default_factory=asyncio.Event)
     #: Outcome counts of attempts, by model and version.
     outcomes: OutcomeWindow = field(default_factory=OutcomeWindow)
     #: Set when the first target views exist.
     targets_known: asyncio.Event = field(default_factory=asyncio.Event)
     #: Events that trigger an immediate read of a followed target's report, by target.
-    report_hurries: dict[str, asyncio.Event] = field(default_factory=dict)
+    report_requests: dict[str, asyncio.Event] = field(default_factory=dict)
     #: Summaries by pool (model) and data centre, with the version of each and the
     #: versions that each peer has.
     summaries: dict[PoolKey, PoolSummary] = field(default_factory=dict)
@@ -146,11 +146,11 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def keep_closing(self, task: asyncio.Task) -> None:
+    def keep_closing_task(self, task: asyncio.Task) -> None:
         """Keep a task that cancels work at an engine; a stop waits for it."""
         self.keep_task(task)
-        self.closing.add(task)
-        task.add_done_callback(self.closing.discard)
+        self.closing_tasks.add(task)
+        task.add_done_callback(self.closing_tasks.discard)
 
     def adopt_snapshot(self, snapshot: Snapshot) -> None:
         """Activate a snapshot and wake all tasks that wait for a change."""
@@ -163,20 +163,20 @@
         self.metrics.epoch.set({}, snapshot.head.epoch)
         self.snapshot_changed.set()
         self.snapshot_changed = asyncio.Event()
-        self.stir_news()
+        self.request_urgent_heartbeats()
 
-    def stir_news(self) -> None:
+    def request_urgent_heartbeats(self) -> None:
         """Send pending updates to the neighbours now, not at the next heartbeat."""
-        self.news_stirred.set()
-        self.news_stirred = asyncio.Event()
+        self.urgent_update.set()
+        self.urgent_update = asyncio.Event()
 
-    def note_epoch(self, epoch: int, teller: str = "") -> None:
+    def note_epoch(self, epoch: int, source: str = "") -> None:
         """Record a known epoch, and wake the adoption task if it is newer."""
         if epoch > self.known_epoch:
             self.known_epoch = epoch
         if epoch > self.snapshot.head.epoch:
-            self.epoch_teller = teller
-            self.epoch_heard.set()
+            self.epoch_source = source
+            self.newer_epoch_known.set()
 
     def has_paused(self) -> bool:
         """Return whether the last tick is so long ago that the instance was paused.
--- a/packages/instance/fulmarward/_lifecycle.py
+++ b/packages/instance/fulmarward/_lifecycle.py
@@ -9,7 +9,7 @@
         "source": ["starting", "checking"],
         "dest": "serving",
     },
-    {"trigger": "doubt", "source": "serving", "dest": "checking"},
+    {"trigger": "begin_check", "source": "serving", "dest": "checking"},
     {
         "trigger": "begin_stop",
         "source": ["starting", "serving", "checking"],
--- a/packages/instance/fulmarward/_secret_files.py
+++ b/packages/instance/fulmarward/_secret_files.py
@@ -13,7 +13,7 @@
 POLL_INTERVAL_S = 2.0
 
 
-def take_secrets(instance: Instance, secrets: Secrets) -> None:
+def apply_secrets(instance: Instance, secrets: Secrets) -> None:
     """Activate changed secrets; their values are never logged.
 
     Open links stay open, although they were authenticated with earlier secrets. New
@@ -43,7 +43,7 @@
         if not isinstance(loaded, tuple):
             reported = ()
             if loaded != instance.secrets:
-                take_secrets(instance, loaded)
+                apply_secrets(instance, loaded)
         elif loaded != reported:
             reported = loaded
             faults = describe_faults(loaded)
--- a/packages/instance/fulmarward/_stop.py
+++ b/packages/instance/fulmarward/_stop.py
@@ -15,7 +15,7 @@
 CHECK_INTERVAL_S = 0.02
 
 
-def list_open(instance: Instance) -> list[Answer]:
+def list_open_answers(instance: Instance) -> list[Answer]:
     """Return the answers that are unfinished or still being read by a caller."""
     return [
         answer
@@ -24,14 +24,14 @@
     ]
 
 
-async def end_open(instance: Instance) -> None:
+async def fail_open_answers(instance: Instance) -> None:
     """Send callers of open requests the reason of the failure, and end the tasks.
 
     Without it their connections would just break when the stop is expedited or has
     reached its time limit. A resumable stream keeps running at its engine and can be
     read through another instance; other work is cancelled there.
     """
-    answers = list_open(instance)
+    answers = list_open_answers(instance)
     for answer in answers:
         if not answer.is_over:
             answer.fail(_describe_stop(answer))
@@ -43,7 +43,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
             while any(answer.readers for answer in answers):
                 await asyncio.sleep(CHECK_INTERVAL_S)
-            await asyncio.gather(*instance.closing, return_exceptions=True)
+            await asyncio.gather(*instance.closing_tasks, return_exceptions=True)
     except TimeoutError:
         return
 
--- a/packages/instance/fulmarward/admission/_state.py
+++ b/packages/instance/fulmarward/admission/_state.py
@@ -7,7 +7,7 @@
     Bucket,
     DemandTable,
     FairQueue,
-    Outputs,
+    OutputLengths,
     Refusal,
     Ticket,
 )
@@ -23,7 +23,9 @@
     #: Requests that hold a place, by id.
     running: dict[str, Ticket] = field(default_factory=dict)
     #: By request id, completed with `None` on admission or with the refusal.
-    turns: dict[str, asyncio.Future[Refusal | None]] = field(default_factory=dict)
+    admission_futures: dict[str, asyncio.Future[Refusal | None]] = field(
+        default_factory=dict
+    )
     #: The retry budget of the pool.
     budget: RetryBudget = field(default_factory=RetryBudget)
 
@@ -37,7 +39,7 @@
     #: Token buckets of this instance by team.
     buckets: dict[str, Bucket] = field(default_factory=dict)
     #: Statistics of answer lengths by pipeline.
-    outputs: dict[str, Outputs] = field(default_factory=dict)
+    outputs: dict[str, OutputLengths] = field(default_factory=dict)
     #: Demand at this instance and at others.
     demand: DemandTable = field(default_factory=DemandTable)
 
--- a/packages/instance/fulmarward/answers/_answer.py
+++ b/packages/instance/fulmarward/answers/_answer.py
@@ -29,8 +29,8 @@
     #: Number of events that the caller has, if this log lacks some of them, else 0; and
     #: the digest of their texts. A new attempt must reproduce them before the answer
     #: continues.
-    owed: int = 0
-    owed_digest: str = ""
+    expected_events: int = 0
+    expected_digest: str = ""
     #: Prompt tokens, as far as known.
     prompt_tokens: int = 0
     #: Whether any part of the request may have been sent to a target.
@@ -38,10 +38,10 @@
     #: The task that writes it.
     task: asyncio.Task | None = None
     #: Whether the caller can resume it, by event id or idempotency key.
-    may_return: bool = False
+    is_resumable: bool = False
     #: Whether it belongs to an idempotency key: it then runs to its end even without
     #: readers.
-    is_keyed: bool = False
+    has_idempotency_key: bool = False
     #: Number of callers reading now.
     readers: int = 0
     #: When the last reader left, in seconds on the monotonic clock.
--- a/packages/instance/fulmarward/callers/_bodies.py
+++ b/packages/instance/fulmarward/callers/_bodies.py
@@ -13,13 +13,13 @@
     Field,
     describe_faults,
     parse_json,
-    read_flag,
+    read_boolean,
+    read_integer,
     read_list_of,
     read_one_of,
     read_optional,
     read_record,
-    read_text,
-    read_whole,
+    read_string,
 )
 from fulmarward_core.results import ResultCode, make_failure
 
@@ -61,7 +61,7 @@
     return value
 
 
-_READ_TEXT = read_text(pattern=r"(?s).*")
+_READ_TEXT = read_string(pattern=r"(?s).*")
 _READ_PARTS = read_list_of(
     read_record(
         _make_part,
@@ -87,19 +87,21 @@
     least=1,
     most=10_000,
 )
-_READ_TOKENS = read_optional(read_whole(least=1, most=MAX_REQUEST_TOKENS))
+_READ_TOKENS = read_optional(read_integer(least=1, most=MAX_REQUEST_TOKENS))
 _SHARED_FIELDS = {
     "model": Field(read=_READ_TEXT),
     "max_tokens": Field(read=_READ_TOKENS, default=None),
     "max_completion_tokens": Field(read=_READ_TOKENS, default=None),
-    "stream": Field(read=read_optional(read_flag()), default=False),
+    "stream": Field(read=read_optional(read_boolean()), default=False),
     "stream_options": Field(
         read=read_optional(
-            read_record(dict, {"include_usage": Field(read=read_flag(), default=False)})
+            read_record(
+                dict, {"include_usage": Field(read=read_boolean(), default=False)}
+            )
         ),
         default=None,
     ),
-    "n": Field(read=read_optional(read_whole(least=1, most=1)), default=1),
+    "n": Field(read=read_optional(read_integer(least=1, most=1)), default=1),
 }
 #: Members that client libraries may send and that the engines do not support.
 _IGNORED_NAMES = (
--- a/packages/instance/fulmarward/callers/_completions.py
+++ b/packages/instance/fulmarward/callers/_completions.py
@@ -23,7 +23,7 @@
     Shape,
 )
 from fulmarward.observability import log_event
-from fulmarward.requests import Work, make_request_id
+from fulmarward.requests import CompletionRequest, make_request_id
 from fulmarward_core.declaration import Pipeline
 from fulmarward_core.results import ResultCode, make_failure
 
@@ -41,11 +41,11 @@
 
 def _make_work(
     instance: Instance, request: web.Request, team: str, body: CompletionBody
-) -> Work:
+) -> CompletionRequest:
     pipeline = _find_pipeline(instance, team, body.pipeline)
     limit = pipeline.max_output_tokens
     deadline_ms = read_deadline_ms(request, default=pipeline.deadline_ms)
-    return Work(
+    return CompletionRequest(
         request=make_request_id(),
         team=team,
         snapshot=instance.snapshot,
@@ -72,7 +72,7 @@
         work, answer, after = open_resumed(instance, request, work, body.stream)
     else:
         answer = await open_answer(instance, request, work)
-    answer.may_return |= body.stream or KEY_HEADER in request.headers
+    answer.is_resumable |= body.stream or KEY_HEADER in request.headers
     head = AnswerHead(
         shape=shape,
         request=answer.request,
@@ -100,16 +100,20 @@
         _record_end(instance, work, answer, began)
 
 
-def _record_first_token(instance: Instance, work: Work, began: float) -> None:
+def _record_first_token(
+    instance: Instance, work: CompletionRequest, began: float
+) -> None:
     labels = {"pipeline": work.pipeline_name}
-    instance.metrics.first_token.observe(labels, instance.read_clock() - began)
+    instance.metrics.first_token_seconds.observe(labels, instance.read_clock() - began)
 
 
-def _record_end(instance: Instance, work: Work, answer: Answer, began: float) -> None:
+def _record_end(
+    instance: Instance, work: CompletionRequest, answer: Answer, began: float
+) -> None:
     if not answer.is_over:
         return
     labels = {"pipeline": work.pipeline_name}
-    instance.metrics.whole.observe(labels, instance.read_clock() - began)
+    instance.metrics.request_seconds.observe(labels, instance.read_clock() - began)
     code = answer.failure.code if answer.failure else ResultCode.OK
     instance.metrics.requests.inc({"kind": "completion", "result": str(code.value)})
     log_event(
--- a/packages/instance/fulmarward/callers/_discovery.py
+++ b/packages/instance/fulmarward/callers/_discovery.py
@@ -4,7 +4,7 @@
 
 from fulmarward._instance import Instance
 from fulmarward.callers._authenticate import authenticate_team
-from fulmarward.keys import mint_prefix
+from fulmarward.keys import issue_prefix
 from fulmarward_core.discovery import order_addresses
 from fulmarward_core.membership import list_usable
 
@@ -24,7 +24,7 @@
             "addresses": [f"{scheme}://{address}" for address in addresses],
             "lifetime_ms": instance.settings.limits.discovery_ms,
             "epoch": instance.snapshot.head.epoch,
-            "idempotency_key_prefix": mint_prefix(instance, team),
+            "idempotency_key_prefix": issue_prefix(instance, team),
             "idempotency_key_ms": instance.settings.limits.key_ms,
         }
         return web.json_response(answer)
--- a/packages/instance/fulmarward/callers/_headers.py
+++ b/packages/instance/fulmarward/callers/_headers.py
@@ -24,7 +24,7 @@
 _URGENCIES = {item.name.lower(): item for item in Urgency}
 
 
-def refuse_header(header: str, expected: str, found: str) -> CallerError:
+def make_header_error(header: str, expected: str, found: str) -> CallerError:
     """Return the error for a malformed header."""
     detail = f"{header}: expected {expected}, found {found[:64]!r}."
     return CallerError(failure=make_failure(ResultCode.HEADER_MALFORMED, detail))
@@ -37,7 +37,7 @@
         return default
     is_number = value.isascii() and value.isdigit() and len(value) < 10
     if not is_number or not 1 <= int(value) <= MAX_DEADLINE_MS:
-        raise refuse_header(DEADLINE_HEADER, f"1 to {MAX_DEADLINE_MS}", value)
+        raise make_header_error(DEADLINE_HEADER, f"1 to {MAX_DEADLINE_MS}", value)
     return int(value)
 
 
@@ -47,5 +47,7 @@
     if value is None:
         return default
     if value not in _URGENCIES:
-        raise refuse_header(URGENCY_HEADER, "one of " + ", ".join(_URGENCIES), value)
+        raise make_header_error(
+            URGENCY_HEADER, "one of " + ", ".join(_URGENCIES), value
+        )
     return _URGENCIES[value]
--- a/packages/instance/fulmarward/callers/_keys.py
+++ b/packages/instance/fulmarward/callers/_keys.py
@@ -4,10 +4,10 @@
 
 from fulmarward._instance import Instance
 from fulmarward.callers._errors import FAILURE, CallerError
-from fulmarward.callers._headers import KEY_HEADER, KEY_PREFIX_HEADER, refuse_header
-from fulmarward.keys import claim_invented, mint_key, mint_prefix, read_key
-from fulmarward_core.keys import HandedKey, InventedKey
-from fulmarward_core.results import Failure, Ran
+from fulmarward.callers._headers import KEY_HEADER, KEY_PREFIX_HEADER, make_header_error
+from fulmarward.keys import claim_caller_key, issue_key, issue_prefix, read_key
+from fulmarward_core.keys import CallerKey, IssuedKey
+from fulmarward_core.results import ExecutionState, Failure
 
 #: Key under which a request stores its team and idempotency key for the response.
 _KEY_ENTRY = "fulmarward.key"
@@ -15,7 +15,7 @@
 
 def read_call_key(
     instance: Instance, request: web.Request, team: str, *, idempotent: bool
-) -> HandedKey | InventedKey | None:
+) -> IssuedKey | CallerKey | None:
     """Return the key that the call runs under, `None` if it needs none.
 
     A non-idempotent call without a key is issued one, which the response reports so
@@ -24,18 +24,18 @@
     text = request.headers.get(KEY_HEADER)
     if text is None and idempotent:
         return None
-    key = mint_key(instance, team) if text is None else read_key(instance, team, text)
+    key = issue_key(instance, team) if text is None else read_key(instance, team, text)
     if key is None:
-        raise refuse_header(KEY_HEADER, "a key of this team", text)
+        raise make_header_error(KEY_HEADER, "a key of this team", text)
     request[_KEY_ENTRY] = (team, key.text)
     return key
 
 
 async def claim_call_key(
-    instance: Instance, team: str, key: InventedKey, body_hash: str
-) -> HandedKey:
+    instance: Instance, team: str, key: CallerKey, body_hash: str
+) -> IssuedKey:
     """Return the issued key of a caller-generated one; raises `CallerError`."""
-    claimed = await claim_invented(instance, team, key, body_hash)
+    claimed = await claim_caller_key(instance, team, key, body_hash)
     if isinstance(claimed, Failure):
         raise CallerError(failure=claimed)
     return claimed
@@ -54,5 +54,5 @@
     team, text = request[_KEY_ENTRY]
     response.headers[KEY_HEADER] = text
     failure = response.get(FAILURE)
-    if failure is not None and failure.ran is Ran.NOT_RUN:
-        response.headers[KEY_PREFIX_HEADER] = mint_prefix(instance, team)
+    if failure is not None and failure.ran is ExecutionState.NOT_RUN:
+        response.headers[KEY_PREFIX_HEADER] = issue_prefix(instance, team)
--- a/packages/instance/fulmarward/callers/_open.py
+++ b/packages/instance/fulmarward/callers/_open.py
@@ -8,12 +8,20 @@
 from fulmarward._instance import Instance
 from fulmarward.answers import Answer
 from fulmarward.callers._keys import claim_call_key, read_call_key
-from fulmarward.keys import hash_body, hold_here, is_home, open_at_home, open_relayed
-from fulmarward.requests import Work, run_completion
-from fulmarward_core.keys import InventedKey
-
-
-async def open_answer(instance: Instance, request: web.Request, work: Work) -> Answer:
+from fulmarward.keys import (
+    hash_body,
+    is_home,
+    make_local_key,
+    open_at_home,
+    open_relayed,
+)
+from fulmarward.requests import CompletionRequest, run_completion
+from fulmarward_core.keys import CallerKey
+
+
+async def open_answer(
+    instance: Instance, request: web.Request, work: CompletionRequest
+) -> Answer:
     """Start the execution of `work` and return its answer.
 
     A call with a key reads the answer of that key's request, which its home executes
@@ -23,9 +31,9 @@
     if key is None:
         return _start(instance, work)
     body_hash = hash_body("completion", request.path, await request.read())
-    if isinstance(key, InventedKey):
+    if isinstance(key, CallerKey):
         if work.idempotent:
-            key = hold_here(instance, work.team, key)
+            key = make_local_key(instance, work.team, key)
             return open_at_home(instance, work, key, body_hash)
         key = await claim_call_key(instance, work.team, key, body_hash)
     work = replace(work, idempotent=False)
@@ -34,7 +42,7 @@
     return await open_relayed(instance, work, key, body_hash)
 
 
-def _start(instance: Instance, work: Work) -> Answer:
+def _start(instance: Instance, work: CompletionRequest) -> Answer:
     answer = Answer(
         request=work.request, team=work.team, prompt_tokens=len(work.prompt.split())
     )
--- a/packages/instance/fulmarward/callers/_release.py
+++ b/packages/instance/fulmarward/callers/_release.py
@@ -18,10 +18,10 @@
     since its caller has longer to return.
     """
     answer.readers -= 1
-    if answer.readers or (answer.is_keyed and not answer.is_over):
+    if answer.readers or (answer.has_idempotency_key and not answer.is_over):
         return
     answer.unread_since = instance.read_clock()
-    may_wait = answer.may_return and not is_sent
+    may_wait = answer.is_resumable and not is_sent
     wait_s = instance.settings.limits.linger_ms / 1000 if may_wait else 0.0
     lingering = _cancel_unread(instance, answer, answer.unread_since, wait_s)
     instance.keep_task(asyncio.create_task(lingering))
--- a/packages/instance/fulmarward/callers/_resume.py
+++ b/packages/instance/fulmarward/callers/_resume.py
@@ -14,14 +14,14 @@
 from fulmarward.answers import Answer
 from fulmarward.callers._errors import CallerError
 from fulmarward.observability import log_event
-from fulmarward.requests import Work, run_resumed
+from fulmarward.requests import CompletionRequest, run_resumed
 from fulmarward_core.results import ResultCode, make_failure
 from fulmarward_core.streams import (
     EventId,
     Locator,
     digest_prompt,
     open_locator,
-    split_event_id,
+    parse_event_id,
 )
 
 #: Defined by the standard for server-sent events.
@@ -35,7 +35,7 @@
 def _open_event_id(
     instance: Instance, team: str, event_id: str
 ) -> tuple[Locator, EventId]:
-    event = split_event_id(event_id)
+    event = parse_event_id(event_id)
     if event is None:
         raise _make_event_id_error("Expected LOCATOR.NUMBER.")
     for secret in instance.secrets.derive_keys("locators"):
@@ -46,8 +46,8 @@
 
 
 def open_resumed(
-    instance: Instance, request: web.Request, work: Work, is_streamed: bool
-) -> tuple[Work, Answer, int]:
+    instance: Instance, request: web.Request, work: CompletionRequest, is_streamed: bool
+) -> tuple[CompletionRequest, Answer, int]:
     """Return the work, its answer and the number of the last event received.
 
     Raises `CallerError` for an id that is not of a stream of this team and body.
@@ -88,7 +88,9 @@
     return work, answer, event.number
 
 
-def _restore_work(instance: Instance, work: Work, locator: Locator) -> Work:
+def _restore_work(
+    instance: Instance, work: CompletionRequest, locator: Locator
+) -> CompletionRequest:
     """Return the work with its original request id, deadline and idempotency.
 
     A request may be non-idempotent because of its key rather than its pipeline. The
--- a/packages/instance/fulmarward/callers/_services.py
+++ b/packages/instance/fulmarward/callers/_services.py
@@ -10,12 +10,12 @@
 from fulmarward.callers._errors import CallerError, make_failure_response
 from fulmarward.callers._headers import read_deadline_ms
 from fulmarward.callers._keys import claim_call_key, read_call_key
-from fulmarward.keys import execute_call, hash_body, hold_here, make_call_end
+from fulmarward.keys import execute_call, hash_body, make_call_end, make_local_key
 from fulmarward.observability import log_event
 from fulmarward.peers import CallEnd
-from fulmarward.requests import Call, hold_call, make_request_id, run_call
+from fulmarward.requests import ServiceCall, make_request_id, run_call, track_call
 from fulmarward_core.declaration import Service
-from fulmarward_core.keys import HandedKey
+from fulmarward_core.keys import IssuedKey
 from fulmarward_core.results import ResultCode, make_failure
 
 
@@ -56,12 +56,14 @@
     return path
 
 
-async def _make_call(instance: Instance, request: web.Request, team: str) -> Call:
+async def _make_call(
+    instance: Instance, request: web.Request, team: str
+) -> ServiceCall:
     name = request.match_info["name"]
     service = _find_service(instance, team, name)
     path = _read_path(request)
     deadline_ms = read_deadline_ms(request, default=service.deadline_ms)
-    return Call(
+    return ServiceCall(
         request=make_request_id(),
         team=team,
         service=name,
@@ -75,7 +77,9 @@
     )
 
 
-async def _execute(instance: Instance, request: web.Request, call: Call) -> CallEnd:
+async def _execute(
+    instance: Instance, request: web.Request, call: ServiceCall
+) -> CallEnd:
     """Execute a call; a call with an issued key is treated as not idempotent."""
     key = read_call_key(instance, request, call.team, idempotent=call.idempotent)
     if key is None:
@@ -84,10 +88,10 @@
     body_hash = hash_body(
         "call", call.service, call.method, call.path, call.query, call.body
     )
-    if isinstance(key, HandedKey):
+    if isinstance(key, IssuedKey):
         call = replace(call, idempotent=False)
     elif call.idempotent:
-        key = hold_here(instance, call.team, key)
+        key = make_local_key(instance, call.team, key)
     else:
         key = await claim_call_key(instance, call.team, key, body_hash)
     return await execute_call(instance, call, key, body_hash)
@@ -96,7 +100,7 @@
 async def _pass_through(instance: Instance, request: web.Request) -> web.Response:
     team = authenticate_team(instance, request)
     call = await _make_call(instance, request, team)
-    with hold_call(instance, call.request, team):
+    with track_call(instance, call.request, team):
         end = await _execute(instance, request, call)
     code = end.failure.code if end.failure else ResultCode.OK
     instance.metrics.requests.inc({"kind": "service", "result": str(code.value)})
--- a/packages/instance/fulmarward/configuration/_adopt.py
+++ b/packages/instance/fulmarward/configuration/_adopt.py
@@ -13,8 +13,8 @@
 )
 from fulmarward.configuration._heads import HEAD_KEY, HEAD_TABLE, parse_head
 from fulmarward.observability import log_event
-from fulmarward.peers import AskHead, HeadNews, PeerLinks, PeerLost
-from fulmarward.platform import PlatformOut, read_row
+from fulmarward.peers import HeadReply, HeadRequest, PeerLinks, PeerLost
+from fulmarward.platform import PlatformUnavailable, read_row
 from fulmarward_core.configuration import (
     Adoption,
     Head,
@@ -26,7 +26,7 @@
 from fulmarward_core.declaration import (
     join_declaration,
     parse_declaration,
-    read_manifest,
+    parse_manifest,
 )
 from fulmarward_core.membership import Member, MemberState
 
@@ -45,10 +45,12 @@
 CONFIRMED_STATES = ("serving", "stopping")
 
 
-async def answer_head(instance: Instance, peer: Member, message: AskHead) -> HeadNews:
+async def answer_head(
+    instance: Instance, peer: Member, message: HeadRequest
+) -> HeadReply:
     """Report the active head to a peer."""
     is_confirmed = instance.lifecycle.state in CONFIRMED_STATES
-    return HeadNews(
+    return HeadReply(
         head=instance.snapshot.head,
         is_confirmed=is_confirmed and not instance.has_paused(),
     )
@@ -69,21 +71,21 @@
     return [address for address in known + seeds if address != own_address]
 
 
-async def _request_head(links: PeerLinks, address: str) -> HeadNews | None:
+async def _request_head(links: PeerLinks, address: str) -> HeadReply | None:
     try:
         async with asyncio.timeout(HEAD_TIMEOUT_S):
-            return await links.call(address, AskHead(), HEAD_TIMEOUT_S)
+            return await links.call(address, HeadRequest(), HEAD_TIMEOUT_S)
     except (PeerLost, TimeoutError):
         return None
 
 
 async def _request_heads(
     links: PeerLinks, addresses: Sequence[str]
-) -> dict[str, HeadNews | None]:
+) -> dict[str, HeadReply | None]:
     """Return the reply of each peer, `None` where there is none."""
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_HEAD_REQUESTS)
 
-    async def ask(address: str) -> HeadNews | None:
+    async def ask(address: str) -> HeadReply | None:
         async with semaphore:
             return await _request_head(links, address)
 
@@ -98,7 +100,7 @@
     hash, each part must have its hash in the manifest, and the whole declaration must
     pass every check.
     """
-    manifest = read_manifest(bodies[head.content_hash])
+    manifest = parse_manifest(bodies[head.content_hash])
     value = None if manifest is None else join_declaration(manifest, bodies)
     declaration = parse_declaration(value)
     if isinstance(declaration, tuple):
@@ -151,7 +153,7 @@
 
 async def adopt_from_announcer(instance: Instance, links: PeerLinks) -> bool:
     """Adopt the head of the peer that announced a newer epoch."""
-    announcer = instance.epoch_teller
+    announcer = instance.epoch_source
     if not announcer:
         return False
     news = await _request_head(links, announcer)
@@ -164,7 +166,7 @@
 async def poll_platform(instance: Instance, links: PeerLinks) -> bool:
     """Adopt the platform's head; return whether it replied and its head is active."""
     row = await read_row(instance.platform, HEAD_TABLE, HEAD_KEY)
-    if isinstance(row, PlatformOut):
+    if isinstance(row, PlatformUnavailable):
         return False
     return await adopt_head(
         instance, parse_head(row), _list_sources(instance, links, [])
@@ -180,7 +182,7 @@
     it; alone it cannot confirm that it has the newest.
     """
     row = await read_row(instance.platform, HEAD_TABLE, HEAD_KEY)
-    if not isinstance(row, PlatformOut):
+    if not isinstance(row, PlatformUnavailable):
         sources = _list_sources(instance, links, [])
         is_adopted = await adopt_head(instance, parse_head(row), sources)
         return is_adopted and instance.snapshot.head.epoch > 0
@@ -194,7 +196,7 @@
 
 
 async def _adopt_highest(
-    instance: Instance, links: PeerLinks, answers: Mapping[str, HeadNews | None]
+    instance: Instance, links: PeerLinks, answers: Mapping[str, HeadReply | None]
 ) -> bool:
     heads = {address: news.head for address, news in answers.items() if news}
     newest = max(heads.values(), key=lambda head: head.epoch)
@@ -208,10 +210,10 @@
     """Return whether a peer announced a newer epoch within `seconds`."""
     try:
         async with asyncio.timeout(seconds):
-            await instance.epoch_heard.wait()
+            await instance.newer_epoch_known.wait()
     except TimeoutError:
         return False
-    instance.epoch_heard.clear()
+    instance.newer_epoch_known.clear()
     return True
 
 
--- a/packages/instance/fulmarward/configuration/_apply.py
+++ b/packages/instance/fulmarward/configuration/_apply.py
@@ -21,7 +21,7 @@
     Committed,
     Condition,
     Conflict,
-    PlatformOut,
+    PlatformUnavailable,
     Row,
     Write,
     read_row,
@@ -127,7 +127,7 @@
     bodies: Mapping[str, bytes],
 ) -> Applied | Failure | _Fenced:
     row = await read_row(instance.platform, HEAD_TABLE, HEAD_KEY)
-    if isinstance(row, PlatformOut):
+    if isinstance(row, PlatformUnavailable):
         return _make_outage_failure(row.detail)
     current = parse_head(row)
     head = Head(
@@ -141,7 +141,7 @@
     log_event("apply_step", apply_id=wanted.apply_id, step=step.value)
     if step in (ApplyStep.DONE, ApplyStep.UNCHANGED):
         return Applied(head=current, is_unchanged=step is ApplyStep.UNCHANGED)
-    if step is ApplyStep.LOOK_BACK:
+    if step is ApplyStep.SEARCH_HISTORY:
         return await _check_history(instance, head, wanted.base_epoch + 1)
     if not await _store_bodies(instance, current, bodies):
         return _make_outage_failure("The bodies could not be stored.")
@@ -192,7 +192,7 @@
     )
     if isinstance(outcome, Committed):
         return Applied(head=head, is_unchanged=False)
-    if isinstance(outcome, PlatformOut):
+    if isinstance(outcome, PlatformUnavailable):
         return _make_outage_failure(outcome.detail)
     if isinstance(outcome, Conflict):
         return await _resolve_conflict(instance, head, parse_head(outcome.row))
@@ -255,7 +255,7 @@
     """
     key = make_history_key(epoch)
     row = await read_row(instance.platform, HISTORY_TABLE, key)
-    if isinstance(row, PlatformOut):
+    if isinstance(row, PlatformUnavailable):
         return make_failure(
             ResultCode.APPLY_UNKNOWN, row.detail, retry_after_ms=RETRY_AFTER_MS
         )
--- a/packages/instance/fulmarward/configuration/_bodies.py
+++ b/packages/instance/fulmarward/configuration/_bodies.py
@@ -6,9 +6,9 @@
 
 from fulmarward._instance import Instance
 from fulmarward.observability import log_event
-from fulmarward.peers import AskBody, Body, PeerLinks, PeerLost
+from fulmarward.peers import BodyReply, BodyRequest, PeerLinks, PeerLost
 from fulmarward.platform import fetch_object
-from fulmarward_core.declaration import hash_body, read_manifest
+from fulmarward_core.declaration import hash_body, parse_manifest
 from fulmarward_core.membership import Member
 
 #: Seconds that a peer has to send a body.
@@ -41,7 +41,7 @@
     async def fetch(content_hash: str) -> bytes | None:
         try:
             answer = await links.call(
-                address, AskBody(content_hash=content_hash), BODY_TIMEOUT_S
+                address, BodyRequest(content_hash=content_hash), BODY_TIMEOUT_S
             )
         except PeerLost:
             return None
@@ -50,9 +50,11 @@
     return Source(name=address, fetch=fetch)
 
 
-async def answer_body(instance: Instance, peer: Member, message: AskBody) -> Body:
+async def answer_body(
+    instance: Instance, peer: Member, message: BodyRequest
+) -> BodyReply:
     """Send a body to a peer, an empty one if it is not known here."""
-    return Body(text=instance.bodies.get(message.content_hash, b""))
+    return BodyReply(text=instance.bodies.get(message.content_hash, b""))
 
 
 async def _fetch_body(content_hash: str, sources: list[Source]) -> bytes | None:
@@ -85,7 +87,7 @@
     """
     left = list(sources)
     manifest_body = held.get(content_hash) or await _fetch_body(content_hash, left)
-    manifest = None if manifest_body is None else read_manifest(manifest_body)
+    manifest = None if manifest_body is None else parse_manifest(manifest_body)
     if manifest is None:
         return None
     bodies = {content_hash: manifest_body}
--- a/packages/instance/fulmarward/configuration/_history.py
+++ b/packages/instance/fulmarward/configuration/_history.py
@@ -11,9 +11,9 @@
     make_history_key,
     parse_head,
 )
-from fulmarward.platform import PlatformOut, read_row
+from fulmarward.platform import PlatformUnavailable, read_row
 from fulmarward_core.configuration import Head
-from fulmarward_core.declaration import join_declaration, read_manifest
+from fulmarward_core.declaration import join_declaration, parse_manifest
 from fulmarward_core.results import Failure, ResultCode, make_failure
 
 #: Milliseconds after which an operator may retry.
@@ -30,7 +30,7 @@
     """Return the head of `epoch`."""
     key = make_history_key(epoch)
     row = await read_row(instance.platform, HISTORY_TABLE, key)
-    if isinstance(row, PlatformOut):
+    if isinstance(row, PlatformUnavailable):
         return _make_outage_failure(row.detail)
     if row.value is None:
         return make_failure(ResultCode.NOT_FOUND, f"No epoch {epoch} is kept.")
@@ -40,7 +40,7 @@
 async def read_history(instance: Instance, count: int) -> tuple[Head, ...] | Failure:
     """Return the last `count` heads, oldest first."""
     row = await read_row(instance.platform, HEAD_TABLE, HEAD_KEY)
-    if isinstance(row, PlatformOut):
+    if isinstance(row, PlatformUnavailable):
         return _make_outage_failure(row.detail)
     newest = parse_head(row).epoch
     epochs = range(max(1, newest - count + 1), newest + 1)
@@ -54,7 +54,7 @@
 def show_declaration(instance: Instance) -> dict[str, object] | None:
     """Return the active declaration as JSON, `None` before the first."""
     body = instance.bodies.get(instance.snapshot.head.content_hash)
-    manifest = None if body is None else read_manifest(body)
+    manifest = None if body is None else parse_manifest(body)
     return None if manifest is None else join_declaration(manifest, instance.bodies)
 
 
@@ -64,7 +64,7 @@
     bodies = await fetch_bodies(instance.bodies, head.content_hash, sources)
     if bodies is None:
         return _make_outage_failure("The bodies could not be fetched.")
-    manifest = read_manifest(bodies[head.content_hash])
+    manifest = parse_manifest(bodies[head.content_hash])
     value = join_declaration(manifest, bodies)
     if value is None:
         detail = f"The bodies of epoch {head.epoch} are damaged."
