--- a/packages/instance/fulmarward/configuration/_readiness.py
+++ b/packages/instance/fulmarward/configuration/_readiness.py
@@ -7,7 +7,7 @@
 from fulmarward.configuration._adopt import confirm_newest
 from fulmarward.observability import log_event
 from fulmarward.peers import PeerLinks
-from fulmarward_core.membership import forgive_silence
+from fulmarward_core.membership import restart_suspicions
 
 #: Seconds between two ticks.
 TICK_INTERVAL_S = 0.5
@@ -29,15 +29,15 @@
     """
     if instance.has_paused():
         instance.pauses += 1
-        forgive_silence(instance.members, now=instance.read_clock())
+        restart_suspicions(instance.members, now=instance.read_clock())
         log_event("paused", level=logging.WARNING, pauses=instance.pauses)
         if instance.lifecycle.state == "serving":
-            instance.lifecycle.doubt()
+            instance.lifecycle.begin_check()
     instance.ticked_at = instance.read_pause_clock()
 
 
 async def _confirm(instance: Instance, links: PeerLinks) -> None:
-    await instance.met_peers.wait()
+    await instance.peers_contacted.wait()
     pauses = instance.pauses
     is_known = await confirm_newest(instance, links)
     if is_known:
--- a/packages/instance/fulmarward/configuration/tests/fakes.py
+++ b/packages/instance/fulmarward/configuration/tests/fakes.py
@@ -8,7 +8,7 @@
 from fulmarward._daemon import make_instance
 from fulmarward.configuration import answer_body, answer_head
 from fulmarward.observability import TraceHandler
-from fulmarward.peers import AskBody, AskHead, PeerLost
+from fulmarward.peers import BodyRequest, HeadRequest, PeerLost
 from fulmarward.settings import InstanceSettings, Limits, Secrets
 from fulmarward_core.membership import Member, MemberState, merge_member
 
@@ -124,9 +124,9 @@
         if address in self.fleet.partitioned or self.own in self.fleet.partitioned:
             raise PeerLost("partitioned", is_sent=True)
         peer = self.fleet.instances[address]
-        answer = {AskHead: answer_head, AskBody: answer_body}[type(message)]
+        answer = {HeadRequest: answer_head, BodyRequest: answer_body}[type(message)]
         reply = await answer(peer, None, message)
-        if isinstance(message, AskBody) and address in self.fleet.damaged:
+        if isinstance(message, BodyRequest) and address in self.fleet.damaged:
             return type(reply)(text=reply.text.replace(b':"r', b':"s'))
         return reply
 
@@ -163,7 +163,7 @@
         secrets = Secrets(platform_token="", operator_tokens=(), peer_secrets=(b"s",))
         instance = make_instance(settings, secrets, self.store, TraceHandler())
         instance.read_pause_clock = lambda: self.now
-        instance.met_peers.set()
+        instance.peers_contacted.set()
         instance.targets_known.set()
         self.instances[name] = instance
         self.links[name] = FakeLinks(self, name)
--- a/packages/instance/fulmarward/configuration/tests/test_machine.py
+++ b/packages/instance/fulmarward/configuration/tests/test_machine.py
@@ -19,7 +19,7 @@
 from fulmarward.configuration._readiness import record_tick
 from fulmarward.configuration.tests.fakes import FakeFleet
 from fulmarward_core.declaration import hash_declaration
-from fulmarward_core.results import CODES, Ran
+from fulmarward_core.results import CODES, ExecutionState
 
 _NAMES = ("a", "b", "c")
 _INSTANCES = st.sampled_from(_NAMES)
@@ -125,15 +125,15 @@
         instance, links = self.fleet.instances[name], self.fleet.links[name]
         epoch = self.fleet.instances[announcer].snapshot.head.epoch
         instance.note_epoch(epoch, announcer)
-        if instance.epoch_heard.is_set():
+        if instance.newer_epoch_known.is_set():
             self._run(adopt_from_announcer(instance, links))
-            instance.epoch_heard.clear()
+            instance.newer_epoch_known.clear()
 
     @rule(name=_INSTANCES, announcer=_INSTANCES, slow=st.integers(0, 12))
     def receive_announcement_while_polling(self, name, announcer, slow):
         # A slow peer offers an old file while the platform's newer one is adopted.
         instance, links = self.fleet.instances[name], self.fleet.links[name]
-        instance.epoch_teller = announcer
+        instance.epoch_source = announcer
         links.yields = iter([0, *[slow] * 3])
 
         async def do_both():
@@ -227,7 +227,10 @@
             for outcome in outcomes:
                 if isinstance(outcome, Applied):
                     assert outcome.is_unchanged or apply_id in applied
-                elif CODES[outcome.code].ran is Ran.NOT_RUN and len(outcomes) == 1:
+                elif (
+                    CODES[outcome.code].ran is ExecutionState.NOT_RUN
+                    and len(outcomes) == 1
+                ):
                     assert apply_id not in applied, outcome
 
 
@@ -262,7 +265,7 @@
         await self._apply(1)
         await poll_platform(self.fleet.instances["c"], self.fleet.links["c"])
         await self._apply(2)
-        instance.epoch_teller = "c"
+        instance.epoch_source = "c"
         links.yields = iter([0, 50, 50, 50])
         await asyncio.gather(
             adopt_from_announcer(instance, links), poll_platform(instance, links)
--- a/packages/instance/fulmarward/health/__init__.py
+++ b/packages/instance/fulmarward/health/__init__.py
@@ -8,12 +8,12 @@
     run_gossip,
 )
 from fulmarward.health._leaving import (
-    hear_records,
+    merge_records,
     note_list,
     note_placement,
     note_refusal,
     note_report,
-    show_leaving,
+    update_leaving_view,
 )
 from fulmarward.health._summaries import run_summaries
 
@@ -22,7 +22,7 @@
     "answer_leaving",
     "answer_leaving_sync",
     "change_drain",
-    "hear_records",
+    "merge_records",
     "note_list",
     "note_placement",
     "note_refusal",
@@ -30,6 +30,6 @@
     "read_drains",
     "run_gossip",
     "run_summaries",
-    "show_leaving",
+    "update_leaving_view",
     "watch_drains",
 ]
--- a/packages/instance/fulmarward/health/_drains.py
+++ b/packages/instance/fulmarward/health/_drains.py
@@ -7,12 +7,12 @@
 import asyncio
 
 from fulmarward._instance import Instance
-from fulmarward.health._leaving import hear_records
+from fulmarward.health._leaving import merge_records
 from fulmarward.observability import log_event
 from fulmarward.platform import (
     Committed,
     Condition,
-    PlatformOut,
+    PlatformUnavailable,
     Row,
     Uncertain,
     Write,
@@ -49,8 +49,8 @@
 async def read_drains(instance: Instance) -> None:
     """Merge all drains in the platform's table."""
     rows = await list_rows(instance.platform, DRAIN_TABLE)
-    if not isinstance(rows, PlatformOut):
-        hear_records(instance, [_make_record(row) for row in rows])
+    if not isinstance(rows, PlatformUnavailable):
+        merge_records(instance, [_make_record(row) for row in rows])
 
 
 async def watch_drains(instance: Instance) -> None:
@@ -69,7 +69,7 @@
     for _ in range(MAX_ATTEMPTS):
         outcome = await _try_change(instance, target, drained=drained, by=by)
         if isinstance(outcome, LeavingRecord):
-            hear_records(instance, [outcome])
+            merge_records(instance, [outcome])
             log_event(
                 "drain", target=target, drained=drained, by=by, version=outcome.version
             )
@@ -87,7 +87,7 @@
     effect, the row is as wanted and nothing is written twice.
     """
     row = await read_row(instance.platform, DRAIN_TABLE, target)
-    if isinstance(row, PlatformOut):
+    if isinstance(row, PlatformUnavailable):
         return make_failure(
             ResultCode.STORE_UNAVAILABLE, row.detail, retry_after_ms=RETRY_AFTER_MS
         )
@@ -101,7 +101,7 @@
     )
     if isinstance(outcome, Committed):
         return _make_record(Row(key=target, version=outcome.versions[0], value=value))
-    if isinstance(outcome, PlatformOut):
+    if isinstance(outcome, PlatformUnavailable):
         return make_failure(
             ResultCode.STORE_UNAVAILABLE, outcome.detail, retry_after_ms=RETRY_AFTER_MS
         )
--- a/packages/instance/fulmarward/health/_gossip.py
+++ b/packages/instance/fulmarward/health/_gossip.py
@@ -8,15 +8,15 @@
 import asyncio
 
 from fulmarward._instance import Instance
-from fulmarward.health._leaving import hear_records
-from fulmarward.health._summaries import hear_summaries, take_unsent
+from fulmarward.health._leaving import merge_records
+from fulmarward.health._summaries import merge_summaries, take_unsent
 from fulmarward.peers import (
-    HealthNews,
-    LeavingNews,
+    Ack,
     LeavingSync,
-    Nothing,
+    LeavingUpdate,
     PeerLinks,
     PeerLost,
+    SummaryExchange,
 )
 from fulmarward_core.health import LeavingRecord, compute_leaving_digest
 from fulmarward_core.membership import Member, select_neighbours
@@ -34,31 +34,31 @@
 
 
 async def answer_leaving(
-    instance: Instance, peer: Member, message: LeavingNews
-) -> Nothing:
+    instance: Instance, peer: Member, message: LeavingUpdate
+) -> Ack:
     """Merge a peer's records; those that are new here are pushed to neighbours."""
-    hear_records(instance, message.records)
-    return Nothing()
+    merge_records(instance, message.records)
+    return Ack()
 
 
 async def answer_leaving_sync(
     instance: Instance, peer: Member, message: LeavingSync
 ) -> LeavingSync:
     """Merge all records of a peer and answer with those of this instance."""
-    hear_records(instance, message.records)
+    merge_records(instance, message.records)
     return LeavingSync(records=tuple(instance.leaving.records.values()))
 
 
 async def answer_health(
-    instance: Instance, peer: Member, message: HealthNews
-) -> HealthNews:
+    instance: Instance, peer: Member, message: SummaryExchange
+) -> SummaryExchange:
     """Merge a peer's summaries and answer with those that it lacks."""
-    hear_summaries(instance, peer.name, message.summaries)
+    merge_summaries(instance, peer.name, message.summaries)
     return _make_health_message(instance, peer.name)
 
 
-def _make_health_message(instance: Instance, peer: str) -> HealthNews:
-    return HealthNews(
+def _make_health_message(instance: Instance, peer: str) -> SummaryExchange:
+    return SummaryExchange(
         digest=compute_leaving_digest(instance.leaving),
         summaries=take_unsent(instance, peer),
     )
@@ -70,19 +70,19 @@
     try:
         own = _make_health_message(instance, name)
         theirs = await links.call(address, own, ANSWER_TIMEOUT_S)
-        hear_summaries(instance, name, theirs.summaries)
+        merge_summaries(instance, name, theirs.summaries)
         if theirs.digest == compute_leaving_digest(instance.leaving):
             return
         records = tuple(instance.leaving.records.values())
         answer = await links.call(
             address, LeavingSync(records=records), ANSWER_TIMEOUT_S
         )
-        hear_records(instance, answer.records)
+        merge_records(instance, answer.records)
     except PeerLost:
         return
 
 
-async def _send_records(links: PeerLinks, address: str, message: LeavingNews) -> None:
+async def _send_records(links: PeerLinks, address: str, message: LeavingUpdate) -> None:
     try:
         await links.call(address, message, ANSWER_TIMEOUT_S)
     except PeerLost:
@@ -92,7 +92,7 @@
 def _push(instance: Instance, links: PeerLinks, records: list[LeavingRecord]) -> None:
     """Send records to all neighbours concurrently."""
     for first in range(0, len(records), MAX_RECORDS_PER_MESSAGE):
-        message = LeavingNews(
+        message = LeavingUpdate(
             records=tuple(records[first : first + MAX_RECORDS_PER_MESSAGE])
         )
         for name in select_neighbours(instance.members):
@@ -104,10 +104,10 @@
 async def _wait_for_records(instance: Instance, until: float) -> bool:
     try:
         async with asyncio.timeout(max(until - instance.read_clock(), 0.0)):
-            await instance.news_came.wait()
+            await instance.records_pending.wait()
     except TimeoutError:
         return False
-    instance.news_came.clear()
+    instance.records_pending.clear()
     return True
 
 
@@ -117,7 +117,7 @@
     next_round = instance.read_clock()
     while True:
         if await _wait_for_records(instance, next_round):
-            records, instance.unsent_news = instance.unsent_news, []
+            records, instance.unsent_records = instance.unsent_records, []
             _push(instance, links, records)
             continue
         next_round = (
--- a/packages/instance/fulmarward/health/_leaving.py
+++ b/packages/instance/fulmarward/health/_leaving.py
@@ -8,19 +8,19 @@
 from fulmarward_core.health import (
     LeavingRecord,
     LeavingSource,
-    announce,
+    create_record,
     is_leaving,
     list_sources,
     merge_record,
-    observe,
-    observe_report,
+    record_load_report,
+    record_observation,
 )
 
 #: Refusal details of an engine that has not loaded the requested model or adapter.
 _NOT_HELD = ("not_loaded", "adapter_not_loaded")
 
 
-def show_leaving(instance: Instance, name: str) -> None:
+def update_leaving_view(instance: Instance, name: str) -> None:
     """Copy a target's leaving state from the table to its view, and log a change."""
     view = instance.views.get(name)
     if view is None:
@@ -42,18 +42,18 @@
     view = instance.views.get(name)
     if view is not None and view.held is not None:
         view.held = replace(view.held, is_loading=True)
-    if name in instance.report_hurries:
-        instance.report_hurries[name].set()
+    if name in instance.report_requests:
+        instance.report_requests[name].set()
 
 
 def _apply_update(instance: Instance, name: str, record: LeavingRecord | None) -> None:
-    show_leaving(instance, name)
+    update_leaving_view(instance, name)
     is_placed = record is not None and record.source is LeavingSource.PLACEMENT
     if is_placed and not record.is_leaving:
         _request_report(instance, name)
     if record is not None:
-        instance.unsent_news.append(record)
-        instance.news_came.set()
+        instance.unsent_records.append(record)
+        instance.records_pending.set()
 
 
 def note_list(instance: Instance, name: str, *, leaving: bool) -> None:
@@ -66,14 +66,14 @@
         return
     key = (name, LeavingSource.PLATFORM_LIST)
     now = instance.read_clock()
-    record = observe(instance.leaving, key, leaving=leaving, now=now)
+    record = record_observation(instance.leaving, key, leaving=leaving, now=now)
     _apply_update(instance, name, record)
 
 
 def note_report(instance: Instance, name: str, *, leaving: bool) -> None:
     """Record a target's state in its load report."""
     now = instance.read_clock()
-    record = observe_report(instance.leaving, name, leaving=leaving, now=now)
+    record = record_load_report(instance.leaving, name, leaving=leaving, now=now)
     _apply_update(instance, name, record)
 
 
@@ -81,7 +81,7 @@
     """Start or end placement's drain of a target, on all instances."""
     key = (name, LeavingSource.PLACEMENT)
     now = instance.read_clock()
-    record = announce(instance.leaving, key, leaving=leaving, now=now)
+    record = create_record(instance.leaving, key, leaving=leaving, now=now)
     _apply_update(instance, name, record)
 
 
@@ -98,11 +98,11 @@
     if detail == "leaving":
         key = (name, LeavingSource.TARGET)
         now = instance.read_clock()
-        record = observe(instance.leaving, key, leaving=True, now=now)
+        record = record_observation(instance.leaving, key, leaving=True, now=now)
         _apply_update(instance, name, record)
 
 
-def hear_records(instance: Instance, records: Iterable[LeavingRecord]) -> None:
+def merge_records(instance: Instance, records: Iterable[LeavingRecord]) -> None:
     """Merge records of a peer or the platform's table, and push the new ones."""
     now = instance.read_clock()
     declared = instance.snapshot.declaration.targets
--- a/packages/instance/fulmarward/health/_summaries.py
+++ b/packages/instance/fulmarward/health/_summaries.py
@@ -7,12 +7,12 @@
     PoolKey,
     PoolSummary,
     SummaryRecord,
-    add_up,
-    choose_teller,
+    choose_publisher,
     is_leaving,
     is_newer,
     list_pools,
     select_unsent,
+    summarize_pool,
 )
 from fulmarward_core.membership import MemberState
 
@@ -42,9 +42,9 @@
     leaving = frozenset(name for name in targets if is_leaving(instance.leaving, name))
     for pool in list_pools(targets, own):
         key = (pool, own)
-        if choose_teller(instances, key) != instance.member.name:
+        if choose_publisher(instances, key) != instance.member.name:
             continue
-        instance.summaries[key] = add_up(
+        instance.summaries[key] = summarize_pool(
             targets=targets,
             views=instance.views,
             leaving=leaving,
@@ -88,11 +88,11 @@
         waiting=summary.waiting,
         open_targets=summary.open_targets,
         version=instance.summary_versions[key],
-        age=max(int((now - summary.told_at) * 10), 0),
+        age=max(int((now - summary.computed_at) * 10), 0),
     )
 
 
-def hear_summaries(
+def merge_summaries(
     instance: Instance, peer: str, records: tuple[SummaryRecord, ...]
 ) -> None:
     """Merge a peer's summaries, keeping the newer version of each."""
@@ -112,7 +112,7 @@
             running=record.running,
             waiting=record.waiting,
             open_targets=record.open_targets,
-            told_at=instance.read_clock() - record.age / 10,
+            computed_at=instance.read_clock() - record.age / 10,
         )
 
 
--- a/packages/instance/fulmarward/health/tests/test_leaving.py
+++ b/packages/instance/fulmarward/health/tests/test_leaving.py
@@ -45,7 +45,7 @@
         plan = FleetPlan(targets=[TargetPlan(name=f"e{n}") for n in range(1, 5)])
         names = ["i1", "i2", "i3"]
         async with start_fleet(plan) as fleet:
-            await fleet.list_members([_LEAVING])
+            await fleet.publish_members([_LEAVING])
             await _wait_for_leaving_sources(fleet, names, "e1", ["platform_list"])
             await _assert_no_new_work(self, fleet, names, "e1")
             await fleet.control_target("e2", leaving=True)
--- a/packages/instance/fulmarward/keys/_calls.py
+++ b/packages/instance/fulmarward/keys/_calls.py
@@ -19,17 +19,17 @@
     AnswerPart,
     CallEnd,
     ForwardCall,
-    MessageFault,
+    InvalidMessageError,
     PeerLost,
 )
-from fulmarward.requests import Call, hold_call, make_request_id, run_call
+from fulmarward.requests import ServiceCall, make_request_id, run_call, track_call
 from fulmarward_core.keys import (
-    HandedKey,
+    IssuedKey,
     KeyEntry,
     RecordStep,
     ResultCopy,
     end_key,
-    forget_key,
+    remove_key,
 )
 from fulmarward_core.membership import Member
 from fulmarward_core.results import Failure, ResultCode, make_failure
@@ -41,7 +41,7 @@
 
 
 async def execute_call(
-    instance: Instance, call: Call, key: HandedKey, body_hash: str
+    instance: Instance, call: ServiceCall, key: IssuedKey, body_hash: str
 ) -> CallEnd:
     """Return the result of a call under a key, executing it if it is new."""
     if is_home(instance, key):
@@ -50,7 +50,7 @@
 
 
 def _open_at_home(
-    instance: Instance, call: Call, key: HandedKey, body_hash: str
+    instance: Instance, call: ServiceCall, key: IssuedKey, body_hash: str
 ) -> asyncio.Future[CallEnd]:
     entry, is_new, failure = claim_call(
         instance, key, team=call.team, request=call.request, body_hash=body_hash
@@ -70,7 +70,11 @@
 
 
 async def _run(
-    instance: Instance, call: Call, key: HandedKey, body_hash: str, entry: KeyEntry
+    instance: Instance,
+    call: ServiceCall,
+    key: IssuedKey,
+    body_hash: str,
+    entry: KeyEntry,
 ) -> None:
     """Execute a call and end its key, whether or not its caller still waits.
 
@@ -83,7 +87,7 @@
     )
     outcome = make_failure(ResultCode.OUTCOME_UNKNOWN)
     try:
-        with hold_call(instance, f"{call.request} at home", call.team):
+        with track_call(instance, f"{call.request} at home", call.team):
             outcome = find_home_refusal(instance) or await run_call(
                 instance, call, confirm
             )
@@ -99,12 +103,12 @@
             now=instance.read_wall_clock(),
         )
         if is_failure and call.idempotent:
-            forget_key(instance.key_table, key.text)
+            remove_key(instance.key_table, key.text)
         result_future.set_result(make_call_end(call.request, outcome))
 
 
 async def _report_outcome(
-    instance: Instance, key: HandedKey, outcome: ResultCopy | Failure
+    instance: Instance, key: IssuedKey, outcome: ResultCopy | Failure
 ) -> None:
     if isinstance(outcome, Failure):
         await send_note(instance, key, RecordStep.END, failure=outcome)
@@ -120,15 +124,15 @@
     return CallEnd(request=request, result=outcome, failure=None)
 
 
-async def forward_call(
+async def answer_forwarded_call(
     instance: Instance, peer: Member, message: ForwardCall
 ) -> AsyncIterator[object]:
     """Handle a forwarded call at the home of its key."""
     check_boot(instance, message.boot)
     key = read_key(instance, message.team, message.key)
-    if not isinstance(key, HandedKey) or not is_home(instance, key):
-        raise MessageFault("expected a key of this instance")
-    call = Call(
+    if not isinstance(key, IssuedKey) or not is_home(instance, key):
+        raise InvalidMessageError("expected a key of this instance")
+    call = ServiceCall(
         request=make_request_id(),
         team=message.team,
         service=message.service,
@@ -148,7 +152,7 @@
 
 
 async def _relay(
-    instance: Instance, call: Call, key: HandedKey, body_hash: str
+    instance: Instance, call: ServiceCall, key: IssuedKey, body_hash: str
 ) -> CallEnd:
     timeout_s = call.deadline - instance.read_clock() + DEADLINE_GRACE_S
     try:
@@ -160,7 +164,7 @@
 
 
 async def _read_home(
-    instance: Instance, call: Call, key: HandedKey, body_hash: str
+    instance: Instance, call: ServiceCall, key: IssuedKey, body_hash: str
 ) -> CallEnd | None:
     address = find_address(instance, key.prefix.home)
     if address is None or instance.links is None:
@@ -194,7 +198,7 @@
 
 
 async def _take_over(
-    instance: Instance, call: Call, key: HandedKey, body_hash: str
+    instance: Instance, call: ServiceCall, key: IssuedKey, body_hash: str
 ) -> CallEnd:
     """Return the result that the witness recorded, "unknown" if it has none."""
     _, taken, failure = await take_key_over(
--- a/packages/instance/fulmarward/keys/_claims.py
+++ b/packages/instance/fulmarward/keys/_claims.py
@@ -10,13 +10,13 @@
 
 from fulmarward._instance import Instance
 from fulmarward.keys._home import end_refused
-from fulmarward.keys._prefixes import mint_key, read_key
+from fulmarward.keys._prefixes import issue_key, read_key
 from fulmarward.observability import log_event
 from fulmarward.platform import (
     Committed,
     Condition,
     Conflict,
-    PlatformOut,
+    PlatformUnavailable,
     Uncertain,
     Write,
     list_rows,
@@ -24,9 +24,9 @@
     transact,
 )
 from fulmarward_core.keys import (
+    CallerKey,
     ClaimRow,
-    HandedKey,
-    InventedKey,
+    IssuedKey,
     make_row_key,
     pack_claim,
     unpack_claim,
@@ -77,14 +77,14 @@
     row_key: str
     claim: ClaimRow
     #: The key issued for it.
-    key: HandedKey
+    key: IssuedKey
     #: The claim that the table holds in the end, or the failure if there is none.
     outcome: asyncio.Future[ClaimRow | Failure]
 
 
-async def claim_invented(
-    instance: Instance, team: str, key: InventedKey, body_hash: str
-) -> HandedKey | Failure:
+async def claim_caller_key(
+    instance: Instance, team: str, key: CallerKey, body_hash: str
+) -> IssuedKey | Failure:
     """Return the issued key of a caller-generated one, claiming it if it is new."""
     row_key = make_row_key(team, key.text)
     outcome = _find_cached(instance, row_key)
@@ -93,8 +93,8 @@
     if isinstance(outcome, Failure):
         return outcome
     _cache_claim(instance, row_key, outcome)
-    found = read_key(instance, team, outcome.handed)
-    if not isinstance(found, HandedKey):
+    found = read_key(instance, team, outcome.issued_key)
+    if not isinstance(found, IssuedKey):
         detail = "The key's row was sealed with a secret that is no longer known."
         return make_failure(ResultCode.OUTCOME_UNKNOWN, detail)
     return found
@@ -130,9 +130,9 @@
 def _make_pending(
     instance: Instance, team: str, row_key: str, body_hash: str
 ) -> PendingClaim:
-    key = mint_key(instance, team)
+    key = issue_key(instance, team)
     claim = ClaimRow(
-        handed=key.text,
+        issued_key=key.text,
         body_hash=body_hash,
         claimed_at=round(instance.read_wall_clock(), 3),
     )
@@ -225,7 +225,7 @@
     """Read the rows back after a lost reply; claims that cannot be read are refused."""
     for pending in claims:
         row = await read_row(instance.platform, TABLE, pending.row_key)
-        if isinstance(row, PlatformOut):
+        if isinstance(row, PlatformUnavailable):
             return
         if row.version:
             pending.outcome.set_result(unpack_claim(row.value))
@@ -233,7 +233,7 @@
 
 _RESULT_HANDLERS = {
     Committed: _handle_committed,
-    PlatformOut: _handle_unavailable,
+    PlatformUnavailable: _handle_unavailable,
     Uncertain: _handle_uncertain,
 }
 
@@ -248,7 +248,7 @@
 async def sweep_part(instance: Instance, prefix: str) -> int:
     """Delete the expired claims of one part of the table; return their number."""
     rows = await list_rows(instance.platform, TABLE, prefix)
-    if isinstance(rows, PlatformOut):
+    if isinstance(rows, PlatformUnavailable):
         return 0
     cutoff = instance.read_wall_clock() - CLAIM_RETENTION_S
     old = [row for row in rows if unpack_claim(row.value).claimed_at < cutoff]
--- a/packages/instance/fulmarward/keys/_home.py
+++ b/packages/instance/fulmarward/keys/_home.py
@@ -6,17 +6,17 @@
 from fulmarward.answers import Answer
 from fulmarward.keys._witness import request_record, send_note
 from fulmarward.observability import log_event
-from fulmarward.requests import Confirm, Work, run_completion
+from fulmarward.requests import CompletionRequest, ConfirmDispatch, run_completion
 from fulmarward_core.keys import (
     AttemptPlace,
-    Claim,
-    HandedKey,
+    ClaimDecision,
+    IssuedKey,
     KeyEntry,
     RecordStep,
     RecordVerdict,
     claim_key,
     end_key,
-    forget_key,
+    remove_key,
 )
 from fulmarward_core.results import Failure, ResultCode, make_failure
 from fulmarward_core.routing import TargetView
@@ -38,10 +38,10 @@
 RETRY_AFTER_MS = 1_000
 
 _CLAIM_CODES = {
-    Claim.OTHER_BODY: ResultCode.IDEMPOTENCY_KEY_REUSED,
-    Claim.EXPIRED: ResultCode.KEY_CLOSED,
-    Claim.TOO_OLD: ResultCode.OUTCOME_UNKNOWN,
-    Claim.FULL: ResultCode.KEY_NOT_ASKED,
+    ClaimDecision.OTHER_BODY: ResultCode.IDEMPOTENCY_KEY_REUSED,
+    ClaimDecision.EXPIRED: ResultCode.KEY_CLOSED,
+    ClaimDecision.TOO_OLD: ResultCode.OUTCOME_UNKNOWN,
+    ClaimDecision.FULL: ResultCode.KEY_NOT_ASKED,
 }
 
 _VERDICT_CODES = {
@@ -52,7 +52,7 @@
 
 
 def claim_call(
-    instance: Instance, key: HandedKey, *, team: str, request: str, body_hash: str
+    instance: Instance, key: IssuedKey, *, team: str, request: str, body_hash: str
 ) -> tuple[KeyEntry | None, bool, Failure | None]:
     """Claim a key at its home.
 
@@ -68,11 +68,11 @@
     )
     instance.metrics.decisions.inc({"kind": "key", "reason": claim.value})
     log_event("key", request=request, team=team, reason=claim.value)
-    if claim is Claim.TELL:
+    if claim is ClaimDecision.REPORT_OUTCOME:
         return entry, False, entry.outcome
     if claim in _CLAIM_CODES:
         return None, False, make_failure(_CLAIM_CODES[claim])
-    return entry, claim is Claim.START, None
+    return entry, claim is ClaimDecision.START, None
 
 
 def find_home_refusal(instance: Instance) -> Failure | None:
@@ -88,12 +88,12 @@
 
 def make_confirmation(
     instance: Instance,
-    key: HandedKey,
+    key: IssuedKey,
     *,
     body_hash: str,
     request: str,
     stream_layers: tuple[int, int] | None,
-) -> Confirm:
+) -> ConfirmDispatch:
     """Return the check that runs before each dispatch of a request.
 
     A target that has `stream_layers` holds a stream that other instances can resume
@@ -116,10 +116,10 @@
                 instance, key, body_hash=body_hash, request=request, place=place
             )
             is_fresh = instance.read_pause_clock() - asked_at <= MAX_CONFIRMATION_AGE_S
-            if verdict is not RecordVerdict.KEPT or is_fresh:
+            if verdict is not RecordVerdict.ACCEPTED or is_fresh:
                 break
             verdict = None
-        if verdict is RecordVerdict.KEPT:
+        if verdict is RecordVerdict.ACCEPTED:
             return None
         log_event(
             "dispatch_refused",
@@ -135,7 +135,7 @@
 
 
 def open_at_home(
-    instance: Instance, work: Work, key: HandedKey, body_hash: str
+    instance: Instance, work: CompletionRequest, key: IssuedKey, body_hash: str
 ) -> Answer:
     """Return the answer of a key at its home, executing the request if it is new."""
     entry, is_new, failure = claim_call(
@@ -149,8 +149,8 @@
         request=work.request,
         team=work.team,
         prompt_tokens=len(work.prompt.split()),
-        may_return=True,
-        is_keyed=True,
+        is_resumable=True,
+        has_idempotency_key=True,
     )
     entry.answer = answer
     refusal = find_home_refusal(instance)
@@ -158,7 +158,7 @@
         answer.fail(refusal)
         _end(instance, key, answer)
         if work.idempotent:
-            forget_key(instance.key_table, key.text)
+            remove_key(instance.key_table, key.text)
         return answer
     instance.answers[work.request] = answer
     running = _run(instance, work, answer, key, body_hash)
@@ -167,7 +167,7 @@
 
 
 def end_refused(
-    instance: Instance, key: HandedKey, body_hash: str, failure: Failure
+    instance: Instance, key: IssuedKey, body_hash: str, failure: Failure
 ) -> None:
     """End a key under which nothing ran, with the failure that its callers get."""
     claim_key(
@@ -187,7 +187,7 @@
     )
 
 
-def _end(instance: Instance, key: HandedKey, answer: Answer) -> None:
+def _end(instance: Instance, key: IssuedKey, answer: Answer) -> None:
     end_key(
         instance.key_table,
         key.text,
@@ -199,7 +199,11 @@
 
 
 async def _run(
-    instance: Instance, work: Work, answer: Answer, key: HandedKey, body_hash: str
+    instance: Instance,
+    work: CompletionRequest,
+    answer: Answer,
+    key: IssuedKey,
+    body_hash: str,
 ) -> None:
     """Execute a request under its key; the key ends with the result that callers get.
 
@@ -223,14 +227,14 @@
             answer.fail(make_failure(ResultCode.OUTCOME_UNKNOWN))
         _end(instance, key, answer)
         if answer.failure is not None and work.idempotent:
-            forget_key(instance.key_table, key.text)
+            remove_key(instance.key_table, key.text)
         watching.cancel()
         if not answer.readers:
             instance.answers.pop(work.request, None)
     await send_note(instance, key, RecordStep.END, failure=answer.failure)
 
 
-async def _report_begin(instance: Instance, key: HandedKey, answer: Answer) -> None:
+async def _report_begin(instance: Instance, key: IssuedKey, answer: Answer) -> None:
     """Notify the witness that a target has begun, unless the answer ends soon.
 
     An engine may have dropped the stream of a request that it ran. If the home is gone
--- a/packages/instance/fulmarward/keys/_prefixes.py
+++ b/packages/instance/fulmarward/keys/_prefixes.py
@@ -4,8 +4,8 @@
 
 from fulmarward._instance import Instance
 from fulmarward_core.keys import (
-    HandedKey,
-    InventedKey,
+    CallerKey,
+    IssuedKey,
     KeyPrefix,
     open_key,
     seal_prefix,
@@ -44,7 +44,7 @@
     return Incarnation(name=member.name, boot=member.boot)
 
 
-def mint_prefix(instance: Instance, team: str) -> str:
+def issue_prefix(instance: Instance, team: str) -> str:
     """Return a new prefix for `team`, with this instance as home while it serves."""
     others = _list_other_members(instance)
     home = instance.member
@@ -62,24 +62,22 @@
     )
 
 
-def mint_key(instance: Instance, team: str) -> HandedKey:
+def issue_key(instance: Instance, team: str) -> IssuedKey:
     """Return a key for a non-idempotent request that came without one."""
     suffix = f"{instance.generator.getrandbits(80):020x}"
-    key = read_key(instance, team, mint_prefix(instance, team) + suffix)
-    if not isinstance(key, HandedKey):
+    key = read_key(instance, team, issue_prefix(instance, team) + suffix)
+    if not isinstance(key, IssuedKey):
         raise AssertionError("a key issued by this instance could not be opened")
     return key
 
 
-def read_key(
-    instance: Instance, team: str, text: str
-) -> HandedKey | InventedKey | None:
+def read_key(instance: Instance, team: str, text: str) -> IssuedKey | CallerKey | None:
     """Return the parsed key, `None` if this team cannot use it."""
     secrets = instance.secrets.derive_keys(_SECRET_PURPOSE)
     return open_key(text, team=team, secrets=secrets)
 
 
-def hold_here(instance: Instance, team: str, key: InventedKey) -> HandedKey:
+def make_local_key(instance: Instance, team: str, key: CallerKey) -> IssuedKey:
     """Return a local key for the caller-generated key of an idempotent request.
 
     A repeat at this instance gets the same answer; a repeat elsewhere runs again.
@@ -90,7 +88,7 @@
         witness=None,
         expires_at=instance.read_wall_clock() + lifetime_s,
     )
-    return HandedKey(text=f"{team} {key.text}", prefix=prefix)
+    return IssuedKey(text=f"{team} {key.text}", prefix=prefix)
 
 
 def hash_body(*parts: str | bytes) -> str:
@@ -103,12 +101,12 @@
     return digest.hexdigest()[:DIGEST_HEX_DIGITS]
 
 
-def identify_key(key: HandedKey) -> str:
+def identify_key(key: IssuedKey) -> str:
     """Return the digest that identifies a key between its home and its witness."""
     return hashlib.sha256(key.text.encode()).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
-def is_home(instance: Instance, key: HandedKey) -> bool:
+def is_home(instance: Instance, key: IssuedKey) -> bool:
     """Return whether this incarnation of the instance is the key's home."""
     return key.prefix.home == _get_incarnation(instance.member)
 
--- a/packages/instance/fulmarward/keys/_relay.py
+++ b/packages/instance/fulmarward/keys/_relay.py
@@ -14,11 +14,11 @@
     AnswerEnd,
     AnswerPart,
     ForwardCompletion,
-    MessageFault,
+    InvalidMessageError,
     PeerLost,
 )
-from fulmarward.requests import Work, make_request_id
-from fulmarward_core.keys import HandedKey
+from fulmarward.requests import CompletionRequest, make_request_id
+from fulmarward_core.keys import IssuedKey
 from fulmarward_core.membership import Member
 from fulmarward_core.results import ResultCode, make_failure
 
@@ -33,14 +33,14 @@
 DEADLINE_GRACE_S = 1.0
 
 
-async def forward_answer(
+async def answer_forwarded_completion(
     instance: Instance, peer: Member, message: ForwardCompletion
 ) -> AsyncIterator[object]:
     """Handle a forwarded completion at the home of its key."""
     check_boot(instance, message.boot)
     key = read_key(instance, message.team, message.key)
-    if not isinstance(key, HandedKey) or not is_home(instance, key):
-        raise MessageFault("expected a key of this instance")
+    if not isinstance(key, IssuedKey) or not is_home(instance, key):
+        raise InvalidMessageError("expected a key of this instance")
     pipeline = instance.snapshot.declaration.pipelines.get(message.pipeline)
     if pipeline is None:
         failure = make_failure(
@@ -48,7 +48,7 @@
         )
         yield AnswerEnd(end="", failure=failure)
         return
-    work = Work(
+    work = CompletionRequest(
         request=make_request_id(),
         team=message.team,
         snapshot=instance.snapshot,
@@ -96,7 +96,7 @@
 
 
 async def open_relayed(
-    instance: Instance, work: Work, key: HandedKey, body_hash: str
+    instance: Instance, work: CompletionRequest, key: IssuedKey, body_hash: str
 ) -> Answer:
     """Return the answer of a key with another home, once its request id is known."""
     answer = Answer(request="", team=work.team, prompt_tokens=len(work.prompt.split()))
@@ -111,7 +111,11 @@
 
 
 async def _run(
-    instance: Instance, work: Work, answer: Answer, key: HandedKey, body_hash: str
+    instance: Instance,
+    work: CompletionRequest,
+    answer: Answer,
+    key: IssuedKey,
+    body_hash: str,
 ) -> None:
     answer.task = asyncio.current_task()
     timeout_s = work.deadline - instance.read_clock() + DEADLINE_GRACE_S
@@ -127,7 +131,11 @@
 
 
 async def _read_home(
-    instance: Instance, work: Work, answer: Answer, key: HandedKey, body_hash: str
+    instance: Instance,
+    work: CompletionRequest,
+    answer: Answer,
+    key: IssuedKey,
+    body_hash: str,
 ) -> bool:
     """Copy the home's answer; return whether it is complete."""
     address = find_address(instance, key.prefix.home)
@@ -159,7 +167,7 @@
     return False
 
 
-def _log_home_lost(work: Work, key: HandedKey, reason: str) -> None:
+def _log_home_lost(work: CompletionRequest, key: IssuedKey, reason: str) -> None:
     log_event(
         "home_lost", request=work.request, home=key.prefix.home.name, reason=reason
     )
--- a/packages/instance/fulmarward/keys/_takeover.py
+++ b/packages/instance/fulmarward/keys/_takeover.py
@@ -6,8 +6,8 @@
 from fulmarward.answers import Answer
 from fulmarward.keys._witness import request_takeover, send_note
 from fulmarward.observability import log_event
-from fulmarward.peers import KeyTaken
-from fulmarward.requests import Work, make_locator, name_reader
+from fulmarward.peers import TakeKeyReply
+from fulmarward.requests import CompletionRequest, make_locator, make_reader_name
 from fulmarward.targets import (
     EngineStream,
     StreamBroken,
@@ -19,13 +19,13 @@
 from fulmarward_core.keys import (
     AttemptPlace,
     Conclusion,
-    HandedKey,
+    IssuedKey,
     RecordStep,
     conclude_closing,
-    conclude_take,
+    conclude_takeover,
     list_closable,
 )
-from fulmarward_core.results import Failure, Ran, ResultCode, make_failure
+from fulmarward_core.results import ExecutionState, Failure, ResultCode, make_failure
 from fulmarward_core.streams import Stage
 
 #: Times that a broken connection to a running stream is reopened.
@@ -33,21 +33,21 @@
 
 _CONCLUSION_CODES = {
     Conclusion.NOT_RUN: ResultCode.KEY_CLOSED,
-    Conclusion.SPENT: ResultCode.ALREADY_RAN,
+    Conclusion.ANSWER_EXPIRED: ResultCode.ALREADY_RAN,
     Conclusion.UNKNOWN: ResultCode.OUTCOME_UNKNOWN,
 }
 
 
 async def take_key_over(
-    instance: Instance, key: HandedKey, *, request: str, body_hash: str
-) -> tuple[Conclusion, KeyTaken, Failure | None]:
+    instance: Instance, key: IssuedKey, *, request: str, body_hash: str
+) -> tuple[Conclusion, TakeKeyReply, Failure | None]:
     """Take the key over at its witness.
 
     Returns the conclusion, the witness's reply and the failure for the caller, if any.
     """
     taken = await request_takeover(instance, key, body_hash)
     record = taken.record
-    conclusion = conclude_take(record)
+    conclusion = conclude_takeover(record)
     log_event(
         "take_over",
         request=record.request if record and record.request else request,
@@ -66,7 +66,11 @@
 
 
 async def take_over(
-    instance: Instance, work: Work, answer: Answer, key: HandedKey, body_hash: str
+    instance: Instance,
+    work: CompletionRequest,
+    answer: Answer,
+    key: IssuedKey,
+    body_hash: str,
 ) -> None:
     """Finish `answer` without the home: from the engine's stream or with a failure."""
     conclusion, taken, failure = await take_key_over(
@@ -84,17 +88,17 @@
 
 def _adjust_failure(answer: Answer, failure: Failure) -> Failure:
     """Replace a "not run" failure if the caller has already received events."""
-    if answer.texts and failure.ran is Ran.NOT_RUN:
+    if answer.texts and failure.ran is ExecutionState.NOT_RUN:
         return make_failure(ResultCode.STREAM_LOST)
     return failure
 
 
 async def _resume(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
-    key: HandedKey,
-    taken: KeyTaken,
+    key: IssuedKey,
+    taken: TakeKeyReply,
 ) -> Failure | None:
     """Read the latest attempt's stream that still exists, or close all streams."""
     record = taken.record
@@ -126,9 +130,9 @@
 
 async def _read_attempt(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
-    key: HandedKey,
+    key: IssuedKey,
     place: AttemptPlace,
 ) -> str:
     """Copy an attempt's stream into the answer; return its end, empty without one."""
@@ -139,7 +143,7 @@
             request=work.request,
             attempt=place.attempt,
             after=len(answer.texts),
-            reader=name_reader(instance),
+            reader=make_reader_name(instance),
             connect_s=instance.settings.limits.connect_ms / 1000,
         )
         if isinstance(stream, StreamUnknown):
--- a/packages/instance/fulmarward/keys/_witness.py
+++ b/packages/instance/fulmarward/keys/_witness.py
@@ -4,24 +4,24 @@
 from fulmarward.keys._prefixes import find_address, identify_key
 from fulmarward.observability import log_event
 from fulmarward.peers import (
-    AttemptRecorded,
-    KeyTaken,
-    MessageFault,
-    NoteKey,
-    Nothing,
+    Ack,
+    InvalidMessageError,
     PeerLost,
     RecordAttempt,
+    RecordAttemptReply,
     TakeKey,
+    TakeKeyReply,
+    UpdateKeyRecord,
 )
 from fulmarward_core.keys import (
     AttemptPlace,
-    HandedKey,
+    IssuedKey,
     RecordStep,
     RecordVerdict,
     ResultCopy,
-    note_record,
     record_attempt,
-    take_key,
+    take_over_key,
+    update_record,
 )
 from fulmarward_core.membership import Incarnation, Member
 from fulmarward_core.results import Failure
@@ -44,12 +44,12 @@
     not answer from its own.
     """
     if boot != instance.member.boot:
-        raise MessageFault(f"expected boot {instance.member.boot}, found {boot}")
+        raise InvalidMessageError(f"expected boot {instance.member.boot}, found {boot}")
 
 
 async def answer_record(
     instance: Instance, peer: Member, message: RecordAttempt
-) -> AttemptRecorded:
+) -> RecordAttemptReply:
     """Record an attempt in the witness table."""
     check_boot(instance, message.boot)
     verdict = record_attempt(
@@ -62,15 +62,17 @@
         now=instance.read_wall_clock(),
         steady_now=instance.read_clock(),
     )
-    if verdict is not RecordVerdict.KEPT:
+    if verdict is not RecordVerdict.ACCEPTED:
         log_event("record_refused", request=message.request, reason=verdict.value)
-    return AttemptRecorded(verdict=verdict)
+    return RecordAttemptReply(verdict=verdict)
 
 
-async def answer_take(instance: Instance, peer: Member, message: TakeKey) -> KeyTaken:
+async def answer_takeover(
+    instance: Instance, peer: Member, message: TakeKey
+) -> TakeKeyReply:
     """Handle a request of another instance to take a key over."""
     check_boot(instance, message.boot)
-    record = take_key(
+    record = take_over_key(
         instance.witness_table,
         message.key,
         body_hash=message.body_hash,
@@ -84,13 +86,15 @@
         reason=record.state.value if record else "too_old",
     )
     age_s = instance.read_clock() - record.recorded_at if record else 0.0
-    return KeyTaken(record=record, age_s=age_s + AGE_MARGIN_S)
+    return TakeKeyReply(record=record, age_s=age_s + AGE_MARGIN_S)
 
 
-async def answer_note(instance: Instance, peer: Member, message: NoteKey) -> Nothing:
+async def answer_note(
+    instance: Instance, peer: Member, message: UpdateKeyRecord
+) -> Ack:
     """Record the progress or outcome of a request in the witness table."""
     check_boot(instance, message.boot)
-    note_record(
+    update_record(
         instance.witness_table,
         message.key,
         message.step,
@@ -99,12 +103,16 @@
         keep_s=instance.settings.limits.keep_ms / 1000,
         now=instance.read_wall_clock(),
     )
-    return Nothing()
+    return Ack()
 
 
-_NO_RECORD = KeyTaken(record=None, age_s=0.0)
+_NO_RECORD = TakeKeyReply(record=None, age_s=0.0)
 
-_HANDLERS = {RecordAttempt: answer_record, TakeKey: answer_take, NoteKey: answer_note}
+_HANDLERS = {
+    RecordAttempt: answer_record,
+    TakeKey: answer_takeover,
+    UpdateKeyRecord: answer_note,
+}
 
 
 async def _call_witness(
@@ -127,7 +135,7 @@
 
 async def request_record(
     instance: Instance,
-    key: HandedKey,
+    key: IssuedKey,
     *,
     body_hash: str,
     request: str,
@@ -148,8 +156,8 @@
 
 
 async def request_takeover(
-    instance: Instance, key: HandedKey, body_hash: str
-) -> KeyTaken:
+    instance: Instance, key: IssuedKey, body_hash: str
+) -> TakeKeyReply:
     """Take a key over; the result has no record if no witness replies."""
     witness = key.prefix.witness
     if witness is None:
@@ -166,7 +174,7 @@
 
 async def send_note(
     instance: Instance,
-    key: HandedKey,
+    key: IssuedKey,
     step: RecordStep,
     *,
     failure: Failure | None = None,
@@ -176,7 +184,7 @@
     witness = key.prefix.witness
     if witness is None:
         return False
-    message = NoteKey(
+    message = UpdateKeyRecord(
         boot=witness.boot,
         key=identify_key(key),
         step=step,
--- a/packages/instance/fulmarward/membership/__init__.py
+++ b/packages/instance/fulmarward/membership/__init__.py
@@ -1,13 +1,13 @@
 """Failure detection and dissemination of the member table between instances."""
 
-from fulmarward.membership._hearing import (
+from fulmarward.membership._heartbeats import answer_probe, run_membership
+from fulmarward.membership._updates import (
     announce_leaving,
     answer_members,
     answer_ping,
     answer_sync,
-    hear_of,
+    merge_rumours,
 )
-from fulmarward.membership._heartbeats import answer_probe, run_membership
 
 __all__ = [
     "announce_leaving",
@@ -15,6 +15,6 @@
     "answer_ping",
     "answer_probe",
     "answer_sync",
-    "hear_of",
+    "merge_rumours",
     "run_membership",
 ]
--- a/packages/instance/fulmarward/membership/_heartbeats.py
+++ b/packages/instance/fulmarward/membership/_heartbeats.py
@@ -4,27 +4,27 @@
 import logging
 
 from fulmarward._instance import Instance
-from fulmarward.membership._hearing import hear_of
-from fulmarward.membership._listing import read_list, read_lists
-from fulmarward.membership._meeting import (
-    level_tables,
-    meet_peers,
-    meet_strangers,
+from fulmarward.membership._platform_list import poll_platform_list, read_platform_list
+from fulmarward.membership._sync import (
+    contact_first_peers,
+    contact_missing_members,
     ping,
+    sync_tables,
 )
+from fulmarward.membership._updates import merge_rumours
 from fulmarward.observability import log_event
-from fulmarward.peers import AskProbe, PeerLinks, PeerLost, Probed
+from fulmarward.peers import PeerLinks, PeerLost, ProbeReply, ProbeRequest
 from fulmarward_core.membership import (
     Member,
-    Miss,
+    MissAction,
     choose_heartbeat,
+    choose_miss_action,
     choose_probers,
     combine_digests,
+    downgrade_member,
     find_dead,
     forget_dead,
-    judge_miss,
     select_neighbours,
-    worsen_member,
 )
 
 #: Seconds between two checks of the neighbour set and of suspected members.
@@ -52,24 +52,24 @@
 
 
 async def answer_probe(
-    links: PeerLinks, instance: Instance, peer: Member, message: AskProbe
-) -> Probed:
+    links: PeerLinks, instance: Instance, peer: Member, message: ProbeRequest
+) -> ProbeReply:
     """Probe a member that a peer cannot reach."""
     try:
         await ping(instance, links, message.peer_address)
         member = await links.find_member(message.peer_address)
     except PeerLost:
-        return Probed(has_answered=False)
+        return ProbeReply(has_answered=False)
     finally:
         if message.name not in _list_neighbours(instance):
             await links.drop(message.peer_address)
-    return Probed(has_answered=member.name == message.name)
+    return ProbeReply(has_answered=member.name == message.name)
 
 
 async def _is_reached_by_others(
     instance: Instance, links: PeerLinks, name: str, address: str
 ) -> bool:
-    asked = AskProbe(name=name, peer_address=address)
+    asked = ProbeRequest(name=name, peer_address=address)
 
     async def ask(prober: Member) -> bool:
         try:
@@ -88,7 +88,7 @@
 ) -> None:
     """Mark a neighbour as suspect if other instances cannot reach it either."""
     await links.drop(member.peer_address)
-    if judge_miss(misses, is_refused=refused) is Miss.TRY_AGAIN:
+    if choose_miss_action(misses, is_refused=refused) is MissAction.TRY_AGAIN:
         return
     pauses = instance.pauses
     is_reached = await _is_reached_by_others(
@@ -104,7 +104,7 @@
     )
     # If this instance was paused, the missed answers say nothing about the member.
     if not is_reached and instance.pauses == pauses and not instance.has_paused():
-        hear_of(instance, (worsen_member(member),))
+        merge_rumours(instance, (downgrade_member(member),))
 
 
 async def _wait_for_heartbeat(instance: Instance, name: str, misses: int) -> None:
@@ -113,7 +113,7 @@
     After the first missed heartbeat the next one is sent at once: until a failure is
     detected, callers are still sent to the failed instance.
     """
-    urgent_update = instance.news_stirred
+    urgent_update = instance.urgent_update
     seconds = choose_heartbeat(_list_neighbours(instance), name)
     await asyncio.sleep(MIN_INTERVAL_S)
     if misses == 1:
@@ -133,12 +133,12 @@
         try:
             digest = await ping(instance, links, member.peer_address)
             misses = 0
-            is_settled = not instance.members.untold
+            is_settled = not instance.members.pending_transmissions
             is_different = digest != combine_digests(instance.members)
             differing = differing + 1 if is_settled and is_different else 0
             if differing >= MAX_DIFFERING_DIGESTS:
                 differing = 0
-                await level_tables(instance, links, member.peer_address)
+                await sync_tables(instance, links, member.peer_address)
         except PeerLost as lost:
             misses += 1
             await _handle_miss(instance, links, member, misses, lost.is_refused)
@@ -157,7 +157,7 @@
 
 def _check_suspects(instance: Instance) -> None:
     now = instance.read_clock()
-    hear_of(instance, tuple(find_dead(instance.members, now=now)))
+    merge_rumours(instance, tuple(find_dead(instance.members, now=now)))
     for name in forget_dead(instance.members, now=now):
         log_event("member_forgotten", member=name)
 
@@ -183,10 +183,10 @@
 
 async def run_membership(instance: Instance, links: PeerLinks) -> None:
     """Join the fleet, then keep the member table up to date."""
-    await read_list(instance)
-    await meet_peers(instance, links)
-    instance.met_peers.set()
+    await read_platform_list(instance)
+    await contact_first_peers(instance, links)
+    instance.peers_contacted.set()
     async with asyncio.TaskGroup() as group:
         group.create_task(_watch_ring(instance, links))
-        group.create_task(meet_strangers(instance, links))
-        group.create_task(read_lists(instance))
+        group.create_task(contact_missing_members(instance, links))
+        group.create_task(poll_platform_list(instance))
--- a/packages/instance/fulmarward/membership/_listing.py
+++ b/packages/instance/fulmarward/membership/_platform_list.py
@@ -4,8 +4,8 @@
 
 from fulmarward._instance import Instance
 from fulmarward.health import note_list
-from fulmarward.platform import PlatformMember, PlatformOut, list_members
-from fulmarward_core.membership import Listed, choose_list_delay, take_list
+from fulmarward.platform import PlatformMember, PlatformUnavailable, list_members
+from fulmarward_core.membership import ListedInstance, choose_list_delay, update_listed
 
 
 def _note_targets(instance: Instance, entries: tuple[PlatformMember, ...]) -> None:
@@ -14,14 +14,14 @@
             note_list(instance, entry.name, leaving=entry.is_leaving)
 
 
-async def read_list(instance: Instance) -> bool:
+async def read_platform_list(instance: Instance) -> bool:
     """Merge the platform's list; return whether the platform answered."""
     entries = await list_members(instance.platform)
-    if isinstance(entries, PlatformOut):
+    if isinstance(entries, PlatformUnavailable):
         return False
     _note_targets(instance, entries)
     listed = [
-        Listed(
+        ListedInstance(
             name=entry.name,
             peer_address=entry.peer_address,
             is_leaving=entry.is_leaving,
@@ -29,11 +29,11 @@
         for entry in entries
         if entry.kind == "instance"
     ]
-    take_list(instance.members, listed, now=instance.read_clock())
+    update_listed(instance.members, listed, now=instance.read_clock())
     return True
 
 
-async def read_lists(instance: Instance) -> None:
+async def poll_platform_list(instance: Instance) -> None:
     """Poll the platform's list, less often after failures."""
     failures = 0
     while True:
@@ -43,4 +43,4 @@
             generator=instance.generator,
         )
         await asyncio.sleep(delay)
-        failures = 0 if await read_list(instance) else failures + 1
+        failures = 0 if await read_platform_list(instance) else failures + 1
--- a/packages/instance/fulmarward/membership/_meeting.py
+++ b/packages/instance/fulmarward/membership/_sync.py
@@ -3,12 +3,12 @@
 import asyncio
 
 from fulmarward._instance import Instance
-from fulmarward.membership._hearing import hear_of, make_ping
-from fulmarward.peers import AskMembers, PeerLinks, PeerLost, SyncMembers
+from fulmarward.membership._updates import make_ping, merge_rumours
+from fulmarward.peers import MembersRequest, PeerLinks, PeerLost, SyncMembers
 from fulmarward_core.membership import (
     Member,
     is_newer,
-    list_strangers,
+    list_unconnected_addresses,
     select_differing,
     select_neighbours,
 )
@@ -40,18 +40,18 @@
     peer = await links.find_member(address)
     instance.metrics.control_messages.add({"kind": "ping", "direction": "sent"}, 1)
     answer = await links.call(address, make_ping(instance, peer), ANSWER_TIMEOUT_S)
-    hear_of(instance, (peer, *answer.rumours))
+    merge_rumours(instance, (peer, *answer.rumours))
     instance.note_epoch(answer.epoch, address)
     return answer.digest
 
 
-async def level_tables(instance: Instance, links: PeerLinks, address: str) -> None:
+async def sync_tables(instance: Instance, links: PeerLinks, address: str) -> None:
     """Synchronise the member table with a peer's; raises `PeerLost`."""
     table = instance.members
-    asked = AskMembers(digests=tuple(table.digests))
+    asked = MembersRequest(digests=tuple(table.digests))
     instance.metrics.control_messages.add({"kind": "sync", "direction": "sent"}, 1)
     theirs = await links.call(address, asked, ANSWER_TIMEOUT_S)
-    hear_of(instance, theirs.members)
+    merge_rumours(instance, theirs.members)
     known = {member.name: member for member in theirs.members}
     own = select_differing(table, theirs.digests)
     newer_here = tuple(item for item in own if is_newer(item, known.get(item.name)))
@@ -63,13 +63,13 @@
     """Contact the instance at `address`; return its member, or `None` on failure."""
     try:
         await ping(instance, links, address)
-        await level_tables(instance, links, address)
+        await sync_tables(instance, links, address)
         return await links.find_member(address)
     except PeerLost:
         return None
 
 
-async def meet_peers(instance: Instance, links: PeerLinks) -> None:
+async def contact_first_peers(instance: Instance, links: PeerLinks) -> None:
     """Synchronise with the first reachable seeds and listed instances.
 
     The tables of a few peers are enough: they contain all other members, and this
@@ -77,7 +77,9 @@
     is handed out in its name.
     """
     contacted = 0
-    addresses = list_strangers(instance.members, instance.settings.seed_peers)
+    addresses = list_unconnected_addresses(
+        instance.members, instance.settings.seed_peers
+    )
     instance.generator.shuffle(addresses)
     for address in addresses:
         contacted += await _contact(instance, links, address) is not None
@@ -85,11 +87,13 @@
             return
 
 
-async def meet_strangers(instance: Instance, links: PeerLinks) -> None:
+async def contact_missing_members(instance: Instance, links: PeerLinks) -> None:
     """Periodically try to contact a seed, listed or formerly known instance."""
     while True:
         await asyncio.sleep(CONTACT_INTERVAL_S * instance.generator.uniform(0.5, 1.5))
-        strangers = list_strangers(instance.members, instance.settings.seed_peers)
+        strangers = list_unconnected_addresses(
+            instance.members, instance.settings.seed_peers
+        )
         if not strangers:
             continue
         address = instance.generator.choice(strangers)
--- a/packages/instance/fulmarward/membership/_hearing.py
+++ b/packages/instance/fulmarward/membership/_updates.py
@@ -4,19 +4,19 @@
 
 from fulmarward._instance import Instance
 from fulmarward.observability import log_event
-from fulmarward.peers import AskMembers, BucketMembers, Nothing, Ping, Pong, SyncMembers
+from fulmarward.peers import Ack, MembersReply, MembersRequest, Ping, Pong, SyncMembers
 from fulmarward_core.membership import (
     Member,
     MemberState,
     combine_digests,
+    dequeue_rumours,
     merge_member,
     refute_rumour,
     select_differing,
-    take_rumours,
 )
 
 
-def hear_of(instance: Instance, rumours: tuple[Member, ...]) -> None:
+def merge_rumours(instance: Instance, rumours: tuple[Member, ...]) -> None:
     """Merge member updates from a peer, and refute false ones about this instance.
 
     Records of leaving instances and refutations by this instance are sent to the
@@ -32,7 +32,7 @@
             is_urgent |= rumour.state is MemberState.LEAVING
             _log_member(rumour)
     if is_urgent:
-        instance.stir_news()
+        instance.request_urgent_heartbeats()
 
 
 def _refute_own_rumour(instance: Instance, rumour: Member) -> bool:
@@ -61,7 +61,7 @@
         "version": instance.member.version,
         "epoch": instance.snapshot.head.epoch,
         "digest": combine_digests(instance.members),
-        "rumours": correction + take_rumours(instance.members),
+        "rumours": correction + dequeue_rumours(instance.members),
     }
 
 
@@ -83,27 +83,25 @@
 async def answer_ping(instance: Instance, peer: Member, message: Ping) -> Pong:
     """Answer a heartbeat."""
     instance.metrics.control_messages.add({"kind": "ping", "direction": "received"}, 1)
-    hear_of(instance, (peer, *message.rumours))
+    merge_rumours(instance, (peer, *message.rumours))
     instance.note_epoch(message.epoch, peer.peer_address)
     sender = replace(peer, boot=message.boot, version=message.version)
     return Pong(**_make_heartbeat_fields(instance, _correct_peer(instance, sender)))
 
 
 async def answer_members(
-    instance: Instance, peer: Member, message: AskMembers
-) -> BucketMembers:
+    instance: Instance, peer: Member, message: MembersRequest
+) -> MembersReply:
     """Answer with the members of the buckets whose digests differ."""
     table = instance.members
     differing = select_differing(table, message.digests)
-    return BucketMembers(digests=tuple(table.digests), members=tuple(differing))
+    return MembersReply(digests=tuple(table.digests), members=tuple(differing))
 
 
-async def answer_sync(
-    instance: Instance, peer: Member, message: SyncMembers
-) -> Nothing:
+async def answer_sync(instance: Instance, peer: Member, message: SyncMembers) -> Ack:
     """Merge the members for which a peer has newer records."""
-    hear_of(instance, message.members)
-    return Nothing()
+    merge_rumours(instance, message.members)
+    return Ack()
 
 
 def announce_leaving(instance: Instance) -> None:
@@ -114,4 +112,4 @@
         state=MemberState.LEAVING,
     )
     merge_member(instance.members, instance.member, now=instance.read_clock())
-    instance.stir_news()
+    instance.request_urgent_heartbeats()
--- a/packages/instance/fulmarward/observability/__init__.py
+++ b/packages/instance/fulmarward/observability/__init__.py
@@ -7,22 +7,22 @@
     stop_logging,
 )
 from fulmarward.observability._metrics import (
-    MetricMaker,
+    MetricFactory,
     Metrics,
     count_frame,
-    make_metric_maker,
+    make_metric_factory,
     make_metrics,
 )
 from fulmarward.observability._traces import TraceHandler
 
 __all__ = [
-    "MetricMaker",
+    "MetricFactory",
     "Metrics",
     "TraceHandler",
     "count_dropped_lines",
     "count_frame",
     "log_event",
-    "make_metric_maker",
+    "make_metric_factory",
     "make_metrics",
     "start_logging",
     "stop_logging",
--- a/packages/instance/fulmarward/observability/_metrics.py
+++ b/packages/instance/fulmarward/observability/_metrics.py
@@ -30,13 +30,13 @@
     #: The active configuration epoch.
     epoch: Gauge
     #: Seconds from acceptance to the first token.
-    first_token: Histogram
+    first_token_seconds: Histogram
     #: Seconds from acceptance to the end of the answer.
-    whole: Histogram
+    request_seconds: Histogram
 
 
 @dataclass(frozen=True, kw_only=True)
-class MetricMaker:
+class MetricFactory:
     """Creates the metrics of one process under the prefix `fulmarward_`."""
 
     #: The registry of all created metrics.
@@ -59,28 +59,36 @@
         )
 
 
-def make_metric_maker(buckets_s: list[float]) -> MetricMaker:
+def make_metric_factory(buckets_s: list[float]) -> MetricFactory:
     """Return a factory with its own registry."""
     REGISTRY.clear()
-    return MetricMaker(registry=Registry(), buckets_s=buckets_s)
+    return MetricFactory(registry=Registry(), buckets_s=buckets_s)
 
 
 def make_metrics() -> Metrics:
     """Return the metrics of an instance in a new registry."""
-    make = make_metric_maker(LATENCY_BUCKETS_S)
+    factory = make_metric_factory(LATENCY_BUCKETS_S)
     return Metrics(
-        registry=make.registry,
-        requests=make.count("requests_total", "Requests answered, by kind and result."),
-        decisions=make.count("decisions_total", "Decisions, by kind and reason."),
-        dropped=make.count("dropped_events_total", "Target events dropped, by reason."),
-        control_messages=make.count(
+        registry=factory.registry,
+        requests=factory.count(
+            "requests_total", "Requests answered, by kind and result."
+        ),
+        decisions=factory.count("decisions_total", "Decisions, by kind and reason."),
+        dropped=factory.count(
+            "dropped_events_total", "Target events dropped, by reason."
+        ),
+        control_messages=factory.count(
             "control_messages_total", "Messages between peers."
         ),
-        control_bytes=make.count("control_bytes_total", "Bytes between peers."),
-        open_requests=make.gauge("open_requests", "Requests open now."),
-        epoch=make.gauge("configuration_epoch", "Configuration epoch in force."),
-        first_token=make.histogram("first_token_seconds", "Time to the first token."),
-        whole=make.histogram("request_seconds", "Time to the end of the answer."),
+        control_bytes=factory.count("control_bytes_total", "Bytes between peers."),
+        open_requests=factory.gauge("open_requests", "Requests open now."),
+        epoch=factory.gauge("configuration_epoch", "Configuration epoch in force."),
+        first_token_seconds=factory.histogram(
+            "first_token_seconds", "Time to the first token."
+        ),
+        request_seconds=factory.histogram(
+            "request_seconds", "Time to the end of the answer."
+        ),
     )
 
 
--- a/packages/instance/fulmarward/operators/_server.py
+++ b/packages/instance/fulmarward/operators/_server.py
@@ -24,11 +24,11 @@
     Field,
     describe_faults,
     parse_json,
-    read_flag,
+    read_boolean,
+    read_integer,
     read_optional,
     read_record,
-    read_text,
-    read_whole,
+    read_string,
 )
 from fulmarward_core.health import list_sources
 from fulmarward_core.results import Failure, ResultCode, make_failure
@@ -65,10 +65,10 @@
     ApplyRequest,
     {
         "declaration": Field(read=_read_unchecked),
-        "apply_id": Field(read=read_text(pattern=r"\S{8,64}", expected="an id")),
-        "applied_by": Field(read=read_text(pattern=r".{1,64}", expected="a name")),
+        "apply_id": Field(read=read_string(pattern=r"\S{8,64}", expected="an id")),
+        "applied_by": Field(read=read_string(pattern=r".{1,64}", expected="a name")),
         "base_epoch": Field(
-            read=read_optional(read_whole(least=0, most=10**12)), default=None
+            read=read_optional(read_integer(least=0, most=10**12)), default=None
         ),
     },
 )
@@ -84,9 +84,9 @@
 _READ_DRAIN = read_record(
     _DrainRequest,
     {
-        "target": Field(read=read_text(pattern=r"\S{1,64}", expected="a name")),
-        "drained": Field(read=read_flag()),
-        "by": Field(read=read_text(pattern=r".{1,64}", expected="a name")),
+        "target": Field(read=read_string(pattern=r"\S{1,64}", expected="a name")),
+        "drained": Field(read=read_boolean()),
+        "by": Field(read=read_string(pattern=r".{1,64}", expected="a name")),
     },
 )
 
@@ -195,7 +195,7 @@
 
     async def drain(request: web.Request) -> web.Response:
         log_event("drain", address=request.remote)
-        instance.stop_asked.set()
+        instance.stop_requested.set()
         return web.json_response(
             {"name": instance.settings.name, "open_requests": len(instance.answers)}
         )
--- a/packages/instance/fulmarward/peers/_codec.py
+++ b/packages/instance/fulmarward/peers/_codec.py
@@ -1,11 +1,11 @@
 """Encodes and decodes messages between instances as CBOR."""
 
 from fulmarward.peers._messages import MESSAGES
-from fulmarward_core.codec import MessageCodec, MessageFault
+from fulmarward_core.codec import InvalidMessageError, MessageCodec
 
 _CODEC = MessageCodec(messages=MESSAGES)
 
 encode_message = _CODEC.encode
 decode_message = _CODEC.decode
 
-__all__ = ["MessageFault", "decode_message", "encode_message"]
+__all__ = ["InvalidMessageError", "decode_message", "encode_message"]
--- a/packages/instance/fulmarward/peers/_handshake.py
+++ b/packages/instance/fulmarward/peers/_handshake.py
@@ -11,7 +11,7 @@
 
 from websockets.asyncio.connection import Connection
 
-from fulmarward.peers._codec import MessageFault, decode_message, encode_message
+from fulmarward.peers._codec import InvalidMessageError, decode_message, encode_message
 from fulmarward.peers._messages import Challenge, Hello, Welcome
 from fulmarward_core.membership import Member
 
@@ -45,14 +45,14 @@
     data = await connection.recv()
     try:
         message = decode_message(data)
-    except MessageFault as error:
+    except InvalidMessageError as error:
         raise HandshakeRefused(str(error)) from error
     if not isinstance(message, kind):
         raise HandshakeRefused(f"expected {kind.__name__}")
     return message
 
 
-async def greet_dialler(
+async def authenticate_dialler(
     connection: Connection, *, own: Member, accepted: Sequence[bytes]
 ) -> Member:
     """Run the listening side's handshake; return the dialling member or raise."""
@@ -76,7 +76,7 @@
     return hello.member
 
 
-async def greet_listener(
+async def authenticate_to_listener(
     connection: Connection, *, own: Member, accepted: Sequence[bytes]
 ) -> Member:
     """Run the dialling side's handshake; return the listening member or raise."""
--- a/packages/instance/fulmarward/peers/_links.py
+++ b/packages/instance/fulmarward/peers/_links.py
@@ -8,9 +8,9 @@
 import websockets
 from websockets.asyncio.client import ClientConnection, connect
 
-from fulmarward.peers._codec import MessageFault, decode_message, encode_message
+from fulmarward.peers._codec import InvalidMessageError, decode_message, encode_message
 from fulmarward.peers._frames import Frame, FrameKind, pack_frame, unpack_frame
-from fulmarward.peers._handshake import HandshakeRefused, greet_listener
+from fulmarward.peers._handshake import HandshakeRefused, authenticate_to_listener
 from fulmarward.peers._server import MAX_FRAME_BYTES
 from fulmarward_core.membership import Member
 
@@ -148,7 +148,7 @@
             raise PeerLost("the peer refused the call", is_sent=True)
         try:
             return decode_message(frame.message)
-        except MessageFault as error:
+        except InvalidMessageError as error:
             raise PeerLost(str(error), is_sent=True) from error
 
     async def _send_if_open(self, link: _Link, frame: Frame) -> None:
@@ -197,7 +197,7 @@
         would otherwise leak a connection.
         """
         try:
-            return await greet_listener(
+            return await authenticate_to_listener(
                 connection, own=self.read_own(), accepted=self.read_secrets()
             )
         except BaseException:
--- a/packages/instance/fulmarward/peers/_messages.py
+++ b/packages/instance/fulmarward/peers/_messages.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Nothing:
+class Ack:
     """An empty acknowledgement."""
 
 
@@ -98,12 +98,12 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskHead:
+class HeadRequest:
     """Requests the head of the active configuration."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeadNews:
+class HeadReply:
     """The head of the sender's active configuration."""
 
     #: The head.
@@ -113,7 +113,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskBody:
+class BodyRequest:
     """Requests a declaration's body."""
 
     #: The body's content hash.
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Body:
+class BodyReply:
     """A declaration's body; empty if the sender has none with that hash."""
 
     #: The JSON text.
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class LeavingNews:
+class LeavingUpdate:
     """New records of leaving targets; answered with `Nothing`."""
 
     #: The new records.
@@ -145,7 +145,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HealthNews:
+class SummaryExchange:
     """Summaries that the receiver lacks; answered with those the sender lacks."""
 
     #: Digest of the sender's leaving records.
@@ -155,15 +155,15 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskMembers:
-    """Requests the members of differing buckets; answered with `BucketMembers`."""
+class MembersRequest:
+    """Requests the members of differing buckets; answered with `MembersReply`."""
 
     #: Digests of the sender's table by bucket.
     digests: tuple[int, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
-class BucketMembers:
+class MembersReply:
     """The members of the buckets whose digests differ."""
 
     #: Digests of the sender's table by bucket.
@@ -173,7 +173,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskProbe:
+class ProbeRequest:
     """Asks the receiver to probe a member that the sender cannot reach."""
 
     #: The member's name.
@@ -183,7 +183,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Probed:
+class ProbeReply:
     """The result of a probe."""
 
     #: Whether the member answered.
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskOutcomes:
+class OutcomesRequest:
     """Requests the outcome counts of attempts on a model's targets."""
 
     #: Name of the model.
@@ -199,7 +199,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class OutcomeCounts:
+class OutcomesReply:
     """Outcome counts of the sender's attempts, by model version."""
 
     #: The counts.
@@ -207,7 +207,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskInFlight:
+class InFlightRequest:
     """Requests the number of requests that the receiver has on a target."""
 
     #: Name of the target.
@@ -215,7 +215,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class InFlight:
+class InFlightReply:
     """The number of requests that the sender has on the target."""
 
     #: The number.
@@ -321,7 +321,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AttemptRecorded:
+class RecordAttemptReply:
     """The witness's answer to `RecordAttempt`."""
 
     #: Whether the home may dispatch the attempt.
@@ -341,7 +341,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class KeyTaken:
+class TakeKeyReply:
     """The witness's record of the key."""
 
     #: The record; `None` when the key's history is unknown.
@@ -351,7 +351,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class NoteKey:
+class UpdateKeyRecord:
     """Reports the progress of a request to the witness; answered with `Nothing`."""
 
     #: The boot number of the witness that is meant.
@@ -379,34 +379,34 @@
     Challenge,
     Hello,
     Welcome,
-    Nothing,
+    Ack,
     Ping,
     Pong,
     SyncMembers,
-    AskHead,
-    HeadNews,
-    AskBody,
-    Body,
-    LeavingNews,
+    HeadRequest,
+    HeadReply,
+    BodyRequest,
+    BodyReply,
+    LeavingUpdate,
     LeavingSync,
-    HealthNews,
-    AskMembers,
-    BucketMembers,
-    AskProbe,
-    Probed,
-    AskOutcomes,
-    OutcomeCounts,
-    AskInFlight,
-    InFlight,
+    SummaryExchange,
+    MembersRequest,
+    MembersReply,
+    ProbeRequest,
+    ProbeReply,
+    OutcomesRequest,
+    OutcomesReply,
+    InFlightRequest,
+    InFlightReply,
     ForwardCompletion,
     ForwardCall,
     AnswerPart,
     AnswerEnd,
     CallEnd,
     RecordAttempt,
-    AttemptRecorded,
+    RecordAttemptReply,
     TakeKey,
-    KeyTaken,
-    NoteKey,
+    TakeKeyReply,
+    UpdateKeyRecord,
     ShareDemand,
 )
--- a/packages/instance/fulmarward/peers/_server.py
+++ b/packages/instance/fulmarward/peers/_server.py
@@ -9,9 +9,9 @@
 
 from fulmarward._instance import Instance
 from fulmarward.observability import count_frame, log_event
-from fulmarward.peers._codec import MessageFault, decode_message, encode_message
+from fulmarward.peers._codec import InvalidMessageError, decode_message, encode_message
 from fulmarward.peers._frames import Frame, FrameKind, pack_frame, unpack_frame
-from fulmarward.peers._handshake import HandshakeRefused, greet_dialler
+from fulmarward.peers._handshake import HandshakeRefused, authenticate_dialler
 from fulmarward_core.membership import Member
 
 #: Maximum frame size in bytes; a declaration's body has to fit.
@@ -43,7 +43,7 @@
             await send(Frame(kind=FrameKind.REPLY, call=frame.call))
             return
         await send(_make_frame(FrameKind.REPLY, frame.call, await result))
-    except (MessageFault, KeyError) as error:
+    except (InvalidMessageError, KeyError) as error:
         log_event("peer_call_refused", level=logging.WARNING, reason=str(error))
         await send(Frame(kind=FrameKind.FAULT, call=frame.call))
     except websockets.ConnectionClosed:
@@ -59,7 +59,7 @@
 ) -> None:
     try:
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-            peer = await greet_dialler(
+            peer = await authenticate_dialler(
                 connection,
                 own=instance.member,
                 accepted=instance.secrets.peer_secrets,
--- a/packages/instance/fulmarward/peers/tests/test_codec.py
+++ b/packages/instance/fulmarward/peers/tests/test_codec.py
@@ -3,7 +3,7 @@
 import cbor2
 from hypothesis import given, strategies as st
 
-from fulmarward.peers import MessageFault, decode_message, encode_message
+from fulmarward.peers import InvalidMessageError, decode_message, encode_message
 from fulmarward.peers._messages import MESSAGES
 
 _MESSAGES = st.one_of([st.from_type(message) for message in MESSAGES])
@@ -20,7 +20,7 @@
     def test_arbitrary_bytes_raise_only_message_fault(self, data):
         try:
             decode_message(data)
-        except MessageFault:
+        except InvalidMessageError:
             return
 
     def test_wrong_fields_are_refused(self):
@@ -31,9 +31,9 @@
             ([999], "expected a message number"),
             ([4], "expected the 5 fields of Ping"),
             ([9, 5], "expected str, found int"),
-            ([9, "a", "b"], "expected the 1 fields of AskBody"),
+            ([9, "a", "b"], "expected the 1 fields of BodyRequest"),
         ]
         for items, expected in cases:
             with self.subTest(items=items):
-                with self.assertRaisesRegex(MessageFault, expected):
+                with self.assertRaisesRegex(InvalidMessageError, expected):
                     decode_message(cbor2.dumps(items))
--- a/packages/instance/fulmarward/peers/tests/test_strangers.py
+++ b/packages/instance/fulmarward/peers/tests/test_strangers.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 from fulmarward.observability import make_metrics
-from fulmarward.peers import Nothing, PeerLinks, PeerLost, serve_peers
+from fulmarward.peers import Ack, PeerLinks, PeerLost, serve_peers
 from fulmarward_core.membership import Member, MemberState
 from fulmarward_standins.harness import find_ports
 
@@ -31,7 +31,7 @@
 
     async def answer(peer, message):
         called.append(peer.name)
-        return Nothing()
+        return Ack()
 
     instance = SimpleNamespace(
         member=_make_member("listener", address),
@@ -39,7 +39,7 @@
         settings=SimpleNamespace(peer_address=address),
         metrics=make_metrics(),
     )
-    server = await serve_peers(instance, {Nothing: answer})
+    server = await serve_peers(instance, {Ack: answer})
     try:
         yield address, called
     finally:
@@ -54,7 +54,7 @@
         count_bytes=lambda direction, number: None,
     )
     try:
-        await links.call(address, Nothing(), 5.0)
+        await links.call(address, Ack(), 5.0)
     finally:
         await links.close()
 
--- a/packages/instance/fulmarward/placement/_lease.py
+++ b/packages/instance/fulmarward/placement/_lease.py
@@ -9,7 +9,7 @@
     Committed,
     Condition,
     Conflict,
-    PlatformOut,
+    PlatformUnavailable,
     Row,
     Write,
     read_row,
@@ -28,11 +28,11 @@
     ReplyLost,
     Step,
     StepKind,
-    StoreOut,
+    StoreUnavailable,
+    apply_event,
     choose_step,
     may_order,
-    note_asking,
-    take_event,
+    record_write,
 )
 from fulmarward_core.membership import MemberState
 
@@ -101,11 +101,13 @@
 
 async def _read(instance: Instance, keeper: LeaseKeeper) -> LeaseEvent:
     row = await read_row(instance.platform, LEASE_TABLE, keeper.pool)
-    return StoreOut() if isinstance(row, PlatformOut) else _read_lease(row)
+    return (
+        StoreUnavailable() if isinstance(row, PlatformUnavailable) else _read_lease(row)
+    )
 
 
 async def _write(instance: Instance, keeper: LeaseKeeper, step: Step) -> LeaseEvent:
-    keeper.state = note_asking(keeper.state, step, now=instance.read_clock())
+    keeper.state = record_write(keeper.state, step, now=instance.read_clock())
     pool = keeper.pool
     outcome = await transact(
         instance.platform,
@@ -116,13 +118,15 @@
         return LeaseWritten(lease=step.lease, version=outcome.versions[0])
     if isinstance(outcome, Conflict):
         return _read_lease(outcome.row)
-    return StoreOut() if isinstance(outcome, PlatformOut) else ReplyLost()
+    return (
+        StoreUnavailable() if isinstance(outcome, PlatformUnavailable) else ReplyLost()
+    )
 
 
 def _apply_event(instance: Instance, keeper: LeaseKeeper, event: LeaseEvent) -> None:
     before = keeper.state
     now = instance.read_clock()
-    keeper.state = take_event(before, keeper.terms, event, now=now)
+    keeper.state = apply_event(before, keeper.terms, event, now=now)
     is_acquired = keeper.state.phase is Phase.HOLDING and (
         before.phase is Phase.WATCHING or before.fencing != keeper.state.fencing
     )
@@ -147,7 +151,7 @@
         else await _write(instance, keeper, step)
     )
     _apply_event(instance, keeper, event)
-    is_unavailable = isinstance(event, StoreOut | ReplyLost)
+    is_unavailable = isinstance(event, StoreUnavailable | ReplyLost)
     return (
         RETRY_DELAY_S * instance.generator.uniform(0.5, 1.5) if is_unavailable else 0.0
     )
--- a/packages/instance/fulmarward/placement/_asking.py
+++ b/packages/instance/fulmarward/placement/_peer_queries.py
@@ -4,10 +4,10 @@
 
 from fulmarward._instance import Instance
 from fulmarward.peers import (
-    AskInFlight,
-    AskOutcomes,
-    InFlight,
-    OutcomeCounts,
+    InFlightReply,
+    InFlightRequest,
+    OutcomesReply,
+    OutcomesRequest,
     PeerLinks,
     PeerLost,
 )
@@ -52,12 +52,12 @@
 
 
 async def answer_outcomes(
-    instance: Instance, peer: Member, message: AskOutcomes
-) -> OutcomeCounts:
+    instance: Instance, peer: Member, message: OutcomesRequest
+) -> OutcomesReply:
     """Answer a peer with the outcome counts of this instance."""
     now = instance.read_clock()
     counts = list_outcomes(instance.outcomes, message.model, now=now)
-    return OutcomeCounts(outcomes=counts)
+    return OutcomesReply(outcomes=counts)
 
 
 async def gather_outcomes(
@@ -66,7 +66,7 @@
     """Return the outcome counts of this instance and of randomly drawn peers."""
     peers = _list_peers(instance)
     sampled = instance.generator.sample(peers, min(MAX_SAMPLED_PEERS, len(peers)))
-    query = AskOutcomes(model=model)
+    query = OutcomesRequest(model=model)
     answers = await asyncio.gather(
         *(_call_peer(instance, links, peer, query) for peer in sampled)
     )
@@ -83,10 +83,10 @@
 
 
 async def answer_in_flight(
-    instance: Instance, peer: Member, message: AskInFlight
-) -> InFlight:
+    instance: Instance, peer: Member, message: InFlightRequest
+) -> InFlightReply:
     """Answer a peer with the number of requests this instance has on a target."""
-    return InFlight(count=_count_own(instance, message.target))
+    return InFlightReply(count=_count_own(instance, message.target))
 
 
 async def count_in_flight(instance: Instance, links: PeerLinks, target: str) -> int:
@@ -96,7 +96,7 @@
     counts neither a chain that is between two tokens nor requests on their way to it.
     A peer that does not answer counts as one request until it is considered dead.
     """
-    query = AskInFlight(target=target)
+    query = InFlightRequest(target=target)
     peers = _list_peers(instance)
     total = _count_own(instance, target)
     for first in range(0, len(peers), MAX_CONCURRENT_CALLS):
--- a/packages/instance/fulmarward/placement/_pool.py
+++ b/packages/instance/fulmarward/placement/_pool.py
@@ -9,13 +9,13 @@
 from fulmarward.health import note_placement
 from fulmarward.observability import log_event
 from fulmarward.peers import PeerLinks
-from fulmarward.placement._asking import count_in_flight, gather_outcomes
 from fulmarward.placement._lease import LeaseKeeper, is_holder
+from fulmarward.placement._peer_queries import count_in_flight, gather_outcomes
 from fulmarward.placement._status import PoolStatus, read_rollout, write_status
-from fulmarward.platform import PlatformOut
+from fulmarward.platform import PlatformUnavailable
 from fulmarward.targets import (
+    OrderAccepted,
     OrderRefused,
-    OrderTaken,
     StreamBroken,
     read_load,
     send_order,
@@ -28,19 +28,19 @@
     list_sources,
     reserve,
 )
-from fulmarward_core.leases import drop_hold
+from fulmarward_core.leases import abandon_lease
 from fulmarward_core.placement import (
     Action,
     ActionKind,
+    DesiredState,
     EngineState,
-    Held,
+    ReportedState,
     Rollout,
     RolloutPhase,
-    Wanted,
     add_outcomes,
     advance_rollout,
     has_soaked,
-    list_wanted,
+    list_desired_states,
     plan_actions,
 )
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Observation:
-    held: Held
+    held: ReportedState
     load: int
     at: float
 
@@ -214,7 +214,7 @@
 
 
 def _list_engines(
-    instance: Instance, placement: PoolPlacement, wanted: dict[str, Wanted]
+    instance: Instance, placement: PoolPlacement, wanted: dict[str, DesiredState]
 ) -> list[EngineState]:
     now = instance.read_clock()
     engines = []
@@ -250,7 +250,7 @@
     instance: Instance,
     placement: PoolPlacement,
     target: Target,
-    wanted: Wanted,
+    wanted: DesiredState,
     action: Action,
 ) -> None:
     """Send one order unless the lease has lapsed or its fencing number changed."""
@@ -269,7 +269,7 @@
         timeout_s=instance.settings.limits.order_ms / 1000,
     )
     now = instance.read_clock()
-    if isinstance(outcome, OrderTaken):
+    if isinstance(outcome, OrderAccepted):
         placement.observations[action.target] = _Observation(
             held=outcome.held, load=0, at=now
         )
@@ -281,14 +281,14 @@
     log_event("order_failed", level=logging.WARNING, detail=detail, **log_fields)
     placement.observations.pop(action.target, None)
     if isinstance(outcome, OrderRefused) and detail == "old_fencing":
-        keeper.state = drop_hold(keeper.state)
+        keeper.state = abandon_lease(keeper.state)
 
 
 def _start_order(
     instance: Instance,
     placement: PoolPlacement,
     target: Target,
-    wanted: Wanted,
+    wanted: DesiredState,
     action: Action,
 ) -> None:
     sending = _send_order(instance, placement, target, wanted, action)
@@ -301,7 +301,7 @@
     instance: Instance,
     placement: PoolPlacement,
     targets: dict[str, Target],
-    wanted: dict[str, Wanted],
+    wanted: dict[str, DesiredState],
     actions: list[Action],
 ) -> None:
     for action in actions:
@@ -361,7 +361,7 @@
 ) -> Rollout | None:
     if placement.rollout is None or placement.rollout.version != version:
         found = await read_rollout(instance, placement.keeper.pool, version)
-        placement.rollout = None if isinstance(found, PlatformOut) else found
+        placement.rollout = None if isinstance(found, PlatformUnavailable) else found
     return placement.rollout
 
 
@@ -394,7 +394,7 @@
         return
     if placement.fencing != keeper.state.fencing:
         _start_term(instance, placement)
-    wanted = list_wanted(declaration, keeper.pool)
+    wanted = list_desired_states(declaration, keeper.pool)
     targets = {name: declaration.targets[name] for name in wanted}
     await _poll_engines(instance, links, placement, targets)
     engines = _list_engines(instance, placement, wanted)
--- a/packages/instance/fulmarward/placement/_status.py
+++ b/packages/instance/fulmarward/placement/_status.py
@@ -8,7 +8,7 @@
 from fulmarward.platform import (
     Committed,
     Condition,
-    PlatformOut,
+    PlatformUnavailable,
     Write,
     list_rows,
     read_row,
@@ -42,13 +42,13 @@
 
 async def read_rollout(
     instance: Instance, pool: str, version: str
-) -> Rollout | PlatformOut:
+) -> Rollout | PlatformUnavailable:
     """Return the rollout of a version as an earlier holder recorded it.
 
     A stopped rollout stays stopped under every later holder.
     """
     row = await read_row(instance.platform, STATUS_TABLE, pool)
-    if isinstance(row, PlatformOut):
+    if isinstance(row, PlatformUnavailable):
         return row
     now = instance.read_clock()
     stored = row.value or {}
@@ -90,7 +90,7 @@
 async def read_placement(instance: Instance) -> list[dict[str, object]] | Failure:
     """Return the status rows of all declared pools."""
     rows = await list_rows(instance.platform, STATUS_TABLE)
-    if isinstance(rows, PlatformOut):
+    if isinstance(rows, PlatformUnavailable):
         return make_failure(
             ResultCode.STORE_UNAVAILABLE, rows.detail, retry_after_ms=RETRY_AFTER_MS
         )
--- a/packages/instance/fulmarward/placement/tests/test_rollouts.py
+++ b/packages/instance/fulmarward/placement/tests/test_rollouts.py
@@ -11,7 +11,7 @@
 from fulmarward_standins.harness import (
     TargetPlan,
     make_declaration,
-    read_whole,
+    read_full_stream,
     start_fleet,
     wait_until,
 )
@@ -77,7 +77,7 @@
             for target in targets:
                 await fleet.control_target(target.name, step_ms=20)
             reading = asyncio.create_task(
-                read_whole(fleet, "i1", "bulletin [90 tokens]", pipeline="chain")
+                read_full_stream(fleet, "i1", "bulletin [90 tokens]", pipeline="chain")
             )
 
             async def runs():
@@ -86,7 +86,7 @@
             await wait_until(runs, "the chain to run")
             await _declare(self, fleet, targets, "anchovy")
             answer = await reading
-            self.assertTrue(answer.is_whole, answer)
+            self.assertTrue(answer.is_complete, answer)
             ran = await fleet.read_ledgers()
             self.assertEqual(len({entry["attempt"] for entry in ran}), 1)
             steps = [
--- a/packages/instance/fulmarward/platform/_adapter.py
+++ b/packages/instance/fulmarward/platform/_adapter.py
@@ -1,7 +1,7 @@
 """The only module that implements the platform's protocol.
 
 Every function returns a tagged outcome and never raises for the platform's faults.
-`Uncertain` differs from `PlatformOut`: the write may have taken effect, and the
+`Uncertain` differs from `PlatformUnavailable`: the write may have taken effect, and the
 caller has to read the row again before it reports a result.
 """
 
@@ -18,11 +18,11 @@
 
 from fulmarward_core.platform import (
     CallKind,
-    Gate,
-    Refused,
+    CallLimiter,
+    Rejected,
     admit_call,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 
 #: Maximum concurrent calls of one instance: its share of calls a second at half a
@@ -55,7 +55,7 @@
     #: Timeout of one call in seconds.
     timeout_s: float
     #: Rate limit and circuit breaker for calls.
-    gate: Gate = field(default_factory=Gate)
+    gate: CallLimiter = field(default_factory=CallLimiter)
     #: Returns the number of instances that share the platform.
     count_instances: Callable[[], int] = lambda: 1
     #: The monotonic clock, and the random generator for delays.
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PlatformOut:
+class PlatformUnavailable:
     """The platform is unavailable or refused the call; nothing took effect."""
 
     #: The error that was seen.
@@ -164,7 +164,7 @@
 
 async def _call(
     platform: Platform, method: str, path: str, **options: object
-) -> _Reply | PlatformOut | Uncertain:
+) -> _Reply | PlatformUnavailable | Uncertain:
     """Call the platform within this instance's rate limit and the circuit breaker."""
     kind = CallKind.READ if method == "GET" else CallKind.WRITE
     verdict = admit_call(
@@ -174,16 +174,16 @@
         is_for_operator=_IS_FOR_OPERATOR.get(),
         now=platform.read_clock(),
     )
-    if isinstance(verdict, Refused):
-        return PlatformOut(detail=verdict.reason)
+    if isinstance(verdict, Rejected):
+        return PlatformUnavailable(detail=verdict.reason)
     await asyncio.sleep(verdict.seconds)
     async with platform.call_slots:
         outcome = await _send(platform, method, path, **options)
     if isinstance(outcome, _Reply):
-        note_success(platform.gate)
+        record_success(platform.gate)
     else:
         now = platform.read_clock()
-        note_failure(platform.gate, now=now, generator=platform.generator)
+        record_failure(platform.gate, now=now, generator=platform.generator)
     return outcome
 
 
@@ -194,7 +194,7 @@
     *,
     expected: tuple[int, ...] = (200,),
     **options: object,
-) -> _Reply | PlatformOut | Uncertain:
+) -> _Reply | PlatformUnavailable | Uncertain:
     """Send one HTTP request to the platform.
 
     An unexpected status is treated like an outage: a token that was changed on one side
@@ -211,23 +211,25 @@
             is_json = response.content_type == "application/json"
             value = await response.json() if is_json else None
     except aiohttp.ClientConnectorError as error:
-        return PlatformOut(detail=f"no connection: {error.strerror}")
+        return PlatformUnavailable(detail=f"no connection: {error.strerror}")
     except (aiohttp.ClientError, TimeoutError, ValueError) as e:
         return Uncertain(detail=f"reply lost: {type(e).__name__}")
     if response.status == 503:
-        return PlatformOut(detail="status 503")
+        return PlatformUnavailable(detail="status 503")
     if response.status >= 500:
         return Uncertain(detail=f"status {response.status}")
     if response.status not in expected:
-        return PlatformOut(detail=f"status {response.status}")
+        return PlatformUnavailable(detail=f"status {response.status}")
     return _Reply(status=response.status, body=body, json=value)
 
 
-def _to_platform_out(outcome: PlatformOut | Uncertain) -> PlatformOut:
-    return PlatformOut(detail=outcome.detail)
+def _to_platform_out(outcome: PlatformUnavailable | Uncertain) -> PlatformUnavailable:
+    return PlatformUnavailable(detail=outcome.detail)
 
 
-async def read_row(platform: Platform, table: str, key: str) -> Row | PlatformOut:
+async def read_row(
+    platform: Platform, table: str, key: str
+) -> Row | PlatformUnavailable:
     """Return a row, with version 0 if it is absent."""
     reply = await _call(platform, "GET", f"/tables/{table}/{key}")
     if not isinstance(reply, _Reply):
@@ -237,7 +239,7 @@
 
 async def list_rows(
     platform: Platform, table: str, prefix: str = ""
-) -> tuple[Row, ...] | PlatformOut:
+) -> tuple[Row, ...] | PlatformUnavailable:
     """Return the rows of a table whose keys begin with `prefix`, sorted by key."""
     reply = await _call(platform, "GET", f"/tables/{table}", params={"prefix": prefix})
     if not isinstance(reply, _Reply):
@@ -247,7 +249,7 @@
 
 async def transact(
     platform: Platform, *, conditions: Sequence[Condition], writes: Sequence[Write]
-) -> Committed | Conflict | PlatformOut | Uncertain:
+) -> Committed | Conflict | PlatformUnavailable | Uncertain:
     """Run a transaction: all writes take effect if all conditions hold, else none."""
     body = {
         "conditions": [vars(condition) for condition in conditions],
@@ -265,13 +267,15 @@
 
 async def store_object(
     platform: Platform, key: str, body: bytes
-) -> Committed | PlatformOut | Uncertain:
+) -> Committed | PlatformUnavailable | Uncertain:
     """Store bytes under `key`; idempotent for equal bytes."""
     reply = await _call(platform, "PUT", f"/objects/{key}", data=body)
     return Committed(versions=()) if isinstance(reply, _Reply) else reply
 
 
-async def fetch_object(platform: Platform, key: str) -> bytes | Absent | PlatformOut:
+async def fetch_object(
+    platform: Platform, key: str
+) -> bytes | Absent | PlatformUnavailable:
     """Return the bytes under `key`."""
     reply = await _call(platform, "GET", f"/objects/{key}", expected=(200, 404))
     if not isinstance(reply, _Reply):
@@ -281,7 +285,7 @@
 
 async def list_members(
     platform: Platform,
-) -> tuple[PlatformMember, ...] | PlatformOut:
+) -> tuple[PlatformMember, ...] | PlatformUnavailable:
     """Return the platform's list of live and leaving instances and targets."""
     reply = await _call(platform, "GET", "/instances")
     if not isinstance(reply, _Reply):
--- a/packages/instance/fulmarward/requests/__init__.py
+++ b/packages/instance/fulmarward/requests/__init__.py
@@ -1,20 +1,20 @@
 """Execution of accepted requests: admission, routing, attempts and retries."""
 
 from fulmarward.requests._admit import run_admission
-from fulmarward.requests._call import Call, hold_call, run_call
-from fulmarward.requests._execute import Confirm, run_completion
-from fulmarward.requests._locate import make_locator, name_reader
+from fulmarward.requests._call import ServiceCall, run_call, track_call
+from fulmarward.requests._completion_request import CompletionRequest, make_request_id
+from fulmarward.requests._execute import ConfirmDispatch, run_completion
+from fulmarward.requests._locate import make_locator, make_reader_name
 from fulmarward.requests._resume import run_resumed
-from fulmarward.requests._work import Work, make_request_id
 
 __all__ = [
-    "Call",
-    "Confirm",
-    "Work",
-    "hold_call",
+    "ServiceCall",
+    "ConfirmDispatch",
+    "CompletionRequest",
+    "track_call",
     "make_locator",
     "make_request_id",
-    "name_reader",
+    "make_reader_name",
     "run_admission",
     "run_call",
     "run_completion",
--- a/packages/instance/fulmarward/requests/_admit.py
+++ b/packages/instance/fulmarward/requests/_admit.py
@@ -10,21 +10,21 @@
 from fulmarward.admission import Pool, find_pool
 from fulmarward.answers import Answer
 from fulmarward.observability import log_event
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward.requests._route import list_engine_views, list_whole_model_views
-from fulmarward.requests._work import Work
 from fulmarward.shares import find_bucket
 from fulmarward_core.admission import (
-    Outputs,
+    OutputLengths,
     Refusal,
     Ticket,
     admit_ticket,
     count_demand,
-    doubt_output,
-    drop_late,
-    expect_output,
-    note_output,
+    decay_output_estimate,
+    drop_expired,
+    estimate_output,
     note_wait,
     pop_next,
+    record_output,
     remove_ticket,
     settle_tokens,
 )
@@ -46,16 +46,16 @@
 class _PendingRequest:
     """A request in admission, with its pool, capacity estimate and ticket."""
 
-    work: Work
+    work: CompletionRequest
     pool: Pool
     speed: PoolSpeed
     ticket: Ticket
-    outputs: Outputs
+    outputs: OutputLengths
     #: The answer under construction, from which the tokens used are counted.
     answer: Answer | None
 
 
-def _estimate_capacity(instance: Instance, work: Work) -> PoolSpeed:
+def _estimate_capacity(instance: Instance, work: CompletionRequest) -> PoolSpeed:
     """Return the capacity of the request's pool: whole-model engines, else chains.
 
     A chain takes a slot on each of its stages, so each stage counts by its share of
@@ -73,10 +73,10 @@
     return replace(speed, places=chains, capacity=chains)
 
 
-def _make_pending(instance: Instance, work: Work) -> _PendingRequest:
+def _make_pending(instance: Instance, work: CompletionRequest) -> _PendingRequest:
     speed = _estimate_capacity(instance, work)
-    outputs = instance.admission.outputs.setdefault(work.pipeline_name, Outputs())
-    expected = expect_output(outputs, work.max_tokens)
+    outputs = instance.admission.outputs.setdefault(work.pipeline_name, OutputLengths())
+    expected = estimate_output(outputs, work.max_tokens)
     prompt = len(work.prompt.split())
     ticket = Ticket(
         request=work.request,
@@ -111,7 +111,7 @@
         generator=instance.generator,
     )
     if isinstance(result, Refusal) and result.retry_after_s is None:
-        doubt_output(pending.outputs)
+        decay_output_estimate(pending.outputs)
     return result
 
 
@@ -146,14 +146,14 @@
     return make_failure(refusal.code, retry_after_ms=after_ms)
 
 
-def _start_waiting(instance: Instance, work: Work) -> None:
+def _start_waiting(instance: Instance, work: CompletionRequest) -> None:
     """Start the next queued requests of a pool while it has free places."""
     pool = find_pool(instance.admission, work.pipeline.model)
     places = _estimate_capacity(instance, work).places
     while ticket := pop_next(pool.queue, running=len(pool.running), places=places):
         note_wait(pool.queue, ticket, now=instance.read_clock())
         pool.running[ticket.request] = ticket
-        admission_future = pool.turns[ticket.request]
+        admission_future = pool.admission_futures[ticket.request]
         if not admission_future.done():
             admission_future.set_result(None)
 
@@ -161,9 +161,9 @@
 def _refuse_expired(instance: Instance, pool: Pool) -> None:
     """Refuse queued requests that can no longer meet their deadline."""
     now = instance.read_clock()
-    for ticket in drop_late(pool.queue, now=now):
+    for ticket in drop_expired(pool.queue, now=now):
         note_wait(pool.queue, ticket, now=now)
-        admission_future = pool.turns[ticket.request]
+        admission_future = pool.admission_futures[ticket.request]
         if not admission_future.done():
             refusal = Refusal(
                 code=ResultCode.DEADLINE_TOO_NEAR,
@@ -193,19 +193,21 @@
 def _release(instance: Instance, pending: _PendingRequest, ticket: Ticket) -> None:
     """Free the place, settle the team's token bucket and start queued requests."""
     pool = pending.pool
-    pool.turns.pop(ticket.request, None)
+    pool.admission_futures.pop(ticket.request, None)
     has_run = pool.running.pop(ticket.request, None) is not None
     remove_ticket(pool.queue, ticket)
     _settle_tokens(
         instance, ticket, _count_used_tokens(pending, ticket) if has_run else 0.0
     )
     if pending.answer is not None and pending.answer.end:
-        note_output(pending.outputs, len(pending.answer.texts))
+        record_output(pending.outputs, len(pending.answer.texts))
     _start_waiting(instance, pending.work)
 
 
 @asynccontextmanager
-async def admit_work(instance: Instance, work: Work) -> AsyncIterator[Failure | None]:
+async def admit_work(
+    instance: Instance, work: CompletionRequest
+) -> AsyncIterator[Failure | None]:
     """Wait in the queue and hold a place; yields the refusal, if there is one."""
     pending = _make_pending(instance, work)
     if pending.speed.capacity <= 0:
@@ -218,7 +220,7 @@
         yield _make_failure(result)
         return
     admission_future = asyncio.get_running_loop().create_future()
-    pending.pool.turns[result.request] = admission_future
+    pending.pool.admission_futures[result.request] = admission_future
     try:
         _start_waiting(instance, work)
         refusal = await admission_future
--- a/packages/instance/fulmarward/requests/_attempt.py
+++ b/packages/instance/fulmarward/requests/_attempt.py
@@ -7,7 +7,8 @@
 from fulmarward.answers import Answer
 from fulmarward.health import note_refusal
 from fulmarward.observability import log_event
-from fulmarward.requests._locate import name_reader
+from fulmarward.requests._completion_request import CompletionRequest
+from fulmarward.requests._locate import make_reader_name
 from fulmarward.requests._progress import (
     DIFFERS,
     DIFFERS_DETAIL,
@@ -15,12 +16,11 @@
     append_texts,
     publish_locator,
 )
-from fulmarward.requests._work import Work
 from fulmarward.targets import (
     EngineStream,
     StreamBroken,
-    StreamOrder,
     StreamRefused,
+    StreamRequest,
     StreamUnknown,
     cancel_stream,
     open_stream,
@@ -72,8 +72,10 @@
     )
 
 
-def _make_order(instance: Instance, work: Work, attempt: int) -> StreamOrder:
-    return StreamOrder(
+def _make_stream_request(
+    instance: Instance, work: CompletionRequest, attempt: int
+) -> StreamRequest:
+    return StreamRequest(
         request=work.request,
         attempt=attempt,
         team=work.team,
@@ -82,12 +84,16 @@
         prompt=work.prompt,
         max_tokens=work.max_tokens,
         urgency=work.urgency.value,
-        reader=name_reader(instance),
+        reader=make_reader_name(instance),
     )
 
 
 async def run_attempt(
-    instance: Instance, work: Work, answer: Answer, number: int, view: TargetView
+    instance: Instance,
+    work: CompletionRequest,
+    answer: Answer,
+    number: int,
+    view: TargetView,
 ) -> Failure | None:
     """Run the request on one target; return the failure, if any."""
     attempt = _make_attempt(number, view, instance.read_clock())
@@ -96,7 +102,7 @@
         stream = await open_stream(
             instance.session,
             view.target.address,
-            _make_order(instance, work, number),
+            _make_stream_request(instance, work, number),
             instance.settings.limits.connect_ms / 1000,
         )
         if isinstance(stream, StreamRefused):
@@ -110,7 +116,11 @@
 
 
 async def attach_attempt(
-    instance: Instance, work: Work, answer: Answer, number: int, view: TargetView
+    instance: Instance,
+    work: CompletionRequest,
+    answer: Answer,
+    number: int,
+    view: TargetView,
 ) -> Failure | None:
     """Read an attempt that another instance started, from its first event."""
     attempt = _make_attempt(number, view, float("-inf"))
@@ -133,26 +143,30 @@
 
 
 def cancel_later(
-    instance: Instance, work: Work, answer: Answer, attempt: int, view: TargetView
+    instance: Instance,
+    work: CompletionRequest,
+    answer: Answer,
+    attempt: int,
+    view: TargetView,
 ) -> None:
     """Cancel, in the background, a stream that no caller waits for.
 
     An instance that shuts down leaves streams running that callers can resume.
     """
-    if instance.lifecycle.state == "stopped" and answer.may_return:
+    if instance.lifecycle.state == "stopped" and answer.is_resumable:
         return
     cancelling = cancel_stream(
         instance.session,
         view.target.address,
         request=work.request,
         attempt=attempt,
-        only_reader=name_reader(instance),
+        only_reader=make_reader_name(instance),
     )
-    instance.keep_closing(asyncio.create_task(cancelling))
+    instance.keep_closing_task(asyncio.create_task(cancelling))
 
 
 async def _reattach(
-    instance: Instance, work: Work, attempt: _Attempt
+    instance: Instance, work: CompletionRequest, attempt: _Attempt
 ) -> EngineStream | StreamUnknown | StreamBroken:
     return await resume_stream(
         instance.session,
@@ -160,14 +174,14 @@
         request=work.request,
         attempt=attempt.number,
         after=attempt.received,
-        reader=name_reader(instance),
+        reader=make_reader_name(instance),
         connect_s=instance.settings.limits.connect_ms / 1000,
     )
 
 
 async def _relay(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     attempt: _Attempt,
     stream: EngineStream | StreamUnknown | StreamBroken,
@@ -207,7 +221,11 @@
 
 
 async def _finish_attempt(
-    instance: Instance, work: Work, answer: Answer, attempt: _Attempt, end: str
+    instance: Instance,
+    work: CompletionRequest,
+    answer: Answer,
+    attempt: _Attempt,
+    end: str,
 ) -> Failure | None:
     if end in ("stop", "length"):
         answer.finish(end)
@@ -219,7 +237,7 @@
 
 
 async def _close_stream(
-    instance: Instance, work: Work, attempt: _Attempt
+    instance: Instance, work: CompletionRequest, attempt: _Attempt
 ) -> str | StreamBroken:
     return await cancel_stream(
         instance.session,
@@ -231,11 +249,11 @@
 
 
 async def _give_up(
-    instance: Instance, work: Work, answer: Answer, attempt: _Attempt
+    instance: Instance, work: CompletionRequest, answer: Answer, attempt: _Attempt
 ) -> Failure:
     """Close the lost stream and return the failure that its state implies."""
     closing = asyncio.create_task(_close_stream(instance, work, attempt))
-    instance.keep_closing(closing)
+    instance.keep_closing_task(closing)
     if work.idempotent:
         await asyncio.wait([closing], timeout=CLOSE_WAIT_S)
     else:
--- a/packages/instance/fulmarward/requests/_call.py
+++ b/packages/instance/fulmarward/requests/_call.py
@@ -10,13 +10,13 @@
 from fulmarward.requests._execute import (
     AVOID_TARGET_S,
     MAX_ATTEMPTS,
-    Confirm,
+    ConfirmDispatch,
     confirm_always,
 )
 from fulmarward.targets import (
     ServiceAnswer,
-    ServiceOrder,
     ServiceRefused,
+    ServiceRequest,
     call_service,
 )
 from fulmarward_core.declaration import TargetKind
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Call:
+class ServiceCall:
     """One accepted call of a plain service."""
 
     #: Request id.
@@ -51,7 +51,7 @@
 
 
 @contextmanager
-def hold_call(instance: Instance, request: str, team: str) -> Iterator[None]:
+def track_call(instance: Instance, request: str, team: str) -> Iterator[None]:
     """Register a call as an open request, for which a graceful shutdown waits."""
     answer = instance.answers[request] = Answer(request=request, team=team)
     try:
@@ -61,7 +61,7 @@
             del instance.answers[request]
 
 
-def _choose(instance: Instance, call: Call, attempt: int) -> Choice | None:
+def _choose(instance: Instance, call: ServiceCall, attempt: int) -> Choice | None:
     choice = choose_target(
         candidates=[
             view
@@ -87,7 +87,7 @@
 
 
 async def run_call(
-    instance: Instance, call: Call, confirm: Confirm = confirm_always
+    instance: Instance, call: ServiceCall, confirm: ConfirmDispatch = confirm_always
 ) -> ResultCopy | Failure:
     """Execute a call, on up to three replicas if it is idempotent."""
     failure = None
@@ -110,9 +110,9 @@
 
 
 async def _call_replica(
-    instance: Instance, call: Call, attempt: int, view: TargetView
+    instance: Instance, call: ServiceCall, attempt: int, view: TargetView
 ) -> ResultCopy | Failure:
-    order = ServiceOrder(
+    service_request = ServiceRequest(
         method=call.method,
         path=call.path,
         query=call.query,
@@ -130,7 +130,7 @@
         outcome = await call_service(
             instance.session,
             view.target.address,
-            order,
+            service_request,
             connect_s=instance.settings.limits.connect_ms / 1000,
             timeout_s=remaining_s,
         )
@@ -150,7 +150,7 @@
     return make_failure(ResultCode.OUTCOME_UNKNOWN, outcome.detail)
 
 
-def _may_retry(call: Call, failure: Failure) -> bool:
+def _may_retry(call: ServiceCall, failure: Failure) -> bool:
     """Return whether another replica may run the call.
 
     Prevents a second execution of a non-idempotent call whose reply was lost.
--- a/packages/instance/fulmarward/requests/_chain.py
+++ b/packages/instance/fulmarward/requests/_chain.py
@@ -14,6 +14,7 @@
     counted_stages,
     uncount_stages,
 )
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward.requests._drive import (
     ChainRun,
     StageLost,
@@ -24,7 +25,6 @@
     DIFFERS,
     append_texts,
 )
-from fulmarward.requests._work import Work
 from fulmarward.targets import (
     StepDone,
     StreamBroken,
@@ -49,7 +49,7 @@
 
 async def run_chain(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     number: int,
     chain: Chain,
@@ -62,7 +62,7 @@
 
 async def attach_chain(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     number: int,
     stages: tuple[Stage, ...],
@@ -86,7 +86,7 @@
 
 async def _drive(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     attempt: ChainProgress,
     version: str | None,
@@ -112,7 +112,7 @@
 
 async def _run_tokens(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     attempt: ChainProgress,
     run: ChainRun,
@@ -136,7 +136,7 @@
 
 
 async def _move_stage_if_needed(
-    instance: Instance, work: Work, attempt: ChainProgress, run: ChainRun
+    instance: Instance, work: CompletionRequest, attempt: ChainProgress, run: ChainRun
 ) -> StageLost | None:
     """Move one stage's cache away from a leaving or slow target."""
     views = {view.name: view for view in list_stage_views(instance, work)}
@@ -174,7 +174,7 @@
 
 async def _read_tokens(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     attempt: ChainProgress,
     run: ChainRun,
@@ -194,7 +194,7 @@
 
 def _append_steps(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     attempt: ChainProgress,
     run: ChainRun,
--- a/packages/instance/fulmarward/requests/_chain_calls.py
+++ b/packages/instance/fulmarward/requests/_chain_calls.py
@@ -2,17 +2,17 @@
 
 from fulmarward._instance import Instance
 from fulmarward.requests._chain_progress import ChainProgress
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward.requests._drive import (
     ChainRun,
     StageCalls,
     StageLost,
 )
 from fulmarward.requests._move import find_address
-from fulmarward.requests._work import Work
 from fulmarward.targets import (
     StepDone,
-    StepOrder,
     StepRefused,
+    StepRequest,
     StreamBroken,
     StreamUnknown,
     read_steps,
@@ -20,7 +20,7 @@
 )
 from fulmarward_core.chains import (
     estimate_step_ms,
-    note_step,
+    record_step_time,
 )
 from fulmarward_core.streams import Stage
 
@@ -37,14 +37,17 @@
 
 
 def make_chain_run(
-    instance: Instance, work: Work, attempt: ChainProgress, version: str | None
+    instance: Instance,
+    work: CompletionRequest,
+    attempt: ChainProgress,
+    version: str | None,
 ) -> ChainRun:
     """Return the run that drives an attempt's tokens through its stages."""
 
-    def make_order(stage: Stage, position: int, value: object) -> StepOrder:
+    def make_step_request(stage: Stage, position: int, value: object) -> StepRequest:
         first, end = stage.layers
         needs_prompt = position == 0 and stage in (run.stages[0], run.stages[-1])
-        return StepOrder(
+        return StepRequest(
             request=work.request,
             attempt=attempt.number,
             team=work.team,
@@ -63,14 +66,16 @@
     run = ChainRun(
         stages=attempt.stages,
         calls=_make_calls(instance, work, attempt),
-        make_order=make_order,
+        make_step_request=make_step_request,
     )
     return run
 
 
-def _make_calls(instance: Instance, work: Work, attempt: ChainProgress) -> StageCalls:
+def _make_calls(
+    instance: Instance, work: CompletionRequest, attempt: ChainProgress
+) -> StageCalls:
     async def run(
-        stage: Stage, step_request: StepOrder
+        stage: Stage, step_request: StepRequest
     ) -> StepDone | StepRefused | StreamBroken:
         address = find_address(instance, stage)
         if address is None:
@@ -104,7 +109,7 @@
     """Record a step's time. Not called for position 0, which processes the prompt."""
     declaration = instance.snapshot.declaration
     now = instance.read_clock()
-    note_step(
+    record_step_time(
         instance.step_times,
         target=stage.target,
         took_ms=(now - began) * 1000,
--- a/packages/instance/fulmarward/requests/_chain_choice.py
+++ b/packages/instance/fulmarward/requests/_chain_choice.py
@@ -2,7 +2,7 @@
 
 from fulmarward._instance import Instance
 from fulmarward.observability import log_event
-from fulmarward.requests._work import Work
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward_core.chains import (
     Chain,
     StageOffer,
@@ -14,7 +14,7 @@
 from fulmarward_core.routing import TargetView
 
 
-def list_stage_views(instance: Instance, work: Work) -> list[TargetView]:
+def list_stage_views(instance: Instance, work: CompletionRequest) -> list[TargetView]:
     """Return the views of the engines that hold part of the request's model.
 
     Engines with the whole model are left out: they run whole requests, which take one
@@ -38,7 +38,7 @@
 
 
 def choose_chain(
-    instance: Instance, work: Work, attempt: int
+    instance: Instance, work: CompletionRequest, attempt: int
 ) -> tuple[Chain, str] | None:
     """Choose the chain and the model version of an attempt, and log the choice.
 
@@ -64,7 +64,7 @@
 
 
 def list_chain_offers(
-    instance: Instance, work: Work, views: list[TargetView]
+    instance: Instance, work: CompletionRequest, views: list[TargetView]
 ) -> list[StageOffer]:
     """Return the stage offers of the views, with their expected costs."""
     return list_offers(
@@ -79,7 +79,7 @@
 
 def _log_choice(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     attempt: int,
     chain: Chain | None,
     version: str,
--- a/packages/instance/fulmarward/requests/_chain_end.py
+++ b/packages/instance/fulmarward/requests/_chain_end.py
@@ -7,6 +7,7 @@
 from fulmarward.observability import log_event
 from fulmarward.requests._attempt import RETRY_AFTER_MS
 from fulmarward.requests._chain_progress import ChainProgress
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward.requests._drive import (
     StageLost,
 )
@@ -15,7 +16,6 @@
     DIFFERS,
     DIFFERS_DETAIL,
 )
-from fulmarward.requests._work import Work
 from fulmarward.targets import (
     StreamBroken,
     close_steps,
@@ -29,7 +29,7 @@
 
 async def close_chain(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     attempt: ChainProgress,
     kept: tuple[Stage, ...] = (),
 ) -> list[str | StreamBroken]:
@@ -56,7 +56,7 @@
 
 def close_chain_later(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     attempt: ChainProgress,
     kept: tuple[Stage, ...] = (),
@@ -66,14 +66,14 @@
     A complete answer stays readable at its last stage (`kept`), for a caller that
     lost its connection.
     """
-    if instance.lifecycle.state == "stopped" and answer.may_return:
+    if instance.lifecycle.state == "stopped" and answer.is_resumable:
         return
     closing = close_chain(instance, work, attempt, kept)
-    instance.keep_closing(asyncio.create_task(closing))
+    instance.keep_closing_task(asyncio.create_task(closing))
 
 
 async def give_up_chain(
-    instance: Instance, work: Work, attempt: ChainProgress, lost: StageLost
+    instance: Instance, work: CompletionRequest, attempt: ChainProgress, lost: StageLost
 ) -> Failure:
     """Close the attempt at all stages before a new one starts; return the failure."""
     log_event(
--- a/packages/instance/fulmarward/requests/_work.py
+++ b/packages/instance/fulmarward/requests/_completion_request.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Work:
+class CompletionRequest:
     """One accepted completion request."""
 
     #: Request id.
--- a/packages/instance/fulmarward/requests/_drive.py
+++ b/packages/instance/fulmarward/requests/_drive.py
@@ -13,8 +13,8 @@
 
 from fulmarward.targets import (
     StepDone,
-    StepOrder,
     StepRefused,
+    StepRequest,
     StreamBroken,
     StreamUnknown,
 )
@@ -39,7 +39,7 @@
     """The calls to a stage, bound to one attempt."""
 
     run_step: Callable[
-        [Stage, StepOrder], Awaitable[StepDone | StepRefused | StreamBroken]
+        [Stage, StepRequest], Awaitable[StepDone | StepRefused | StreamBroken]
     ]
     #: Reads the results of the steps after a position.
     read_steps: Callable[
@@ -70,7 +70,7 @@
     stages: tuple[Stage, ...]
     calls: StageCalls
     #: Builds a step's message from its stage, position and input.
-    make_order: Callable[[Stage, int, object], StepOrder]
+    make_step_request: Callable[[Stage, int, object], StepRequest]
     #: Whether a step of this attempt may have run anywhere.
     may_have_run: bool = False
 
@@ -91,12 +91,12 @@
 async def _run_stage(
     run: ChainRun, stage: Stage, position: int, value: object
 ) -> StepDone | StageLost:
-    order = run.make_order(stage, position, value)
+    step_request = run.make_step_request(stage, position, value)
     unanswered = 0
     may_send = True
     for _ in range(MAX_SENDS):
         if may_send:
-            outcome = await run.calls.run_step(stage, order)
+            outcome = await run.calls.run_step(stage, step_request)
         if isinstance(outcome, StepDone):
             return outcome
         if isinstance(outcome, StepRefused) and outcome.error != "seen":
--- a/packages/instance/fulmarward/requests/_execute.py
+++ b/packages/instance/fulmarward/requests/_execute.py
@@ -11,9 +11,9 @@
 from fulmarward.requests._budget import record_first_try, take_retry
 from fulmarward.requests._chain import run_chain
 from fulmarward.requests._chain_choice import choose_chain
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward.requests._measure import measure_attempt
 from fulmarward.requests._route import choose_route
-from fulmarward.requests._work import Work
 from fulmarward_core.requests import choose_failure
 from fulmarward_core.results import Failure, ResultCode, make_failure
 from fulmarward_core.routing import TargetView
@@ -28,7 +28,7 @@
 
 #: Decides whether an attempt may be dispatched to a target (for a chain, its first
 #: target). Returns `None` to allow it; a failure ends the request.
-Confirm = Callable[[int, TargetView], Awaitable[Failure | None]]
+ConfirmDispatch = Callable[[int, TargetView], Awaitable[Failure | None]]
 
 
 async def confirm_always(attempt: int, view: TargetView) -> None:
@@ -37,9 +37,9 @@
 
 async def run_completion(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
-    confirm: Confirm = confirm_always,
+    confirm: ConfirmDispatch = confirm_always,
 ) -> None:
     """Execute a completion and write its answer, which is always ended.
 
@@ -70,10 +70,10 @@
 
 async def run_attempts(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     first_attempt: int,
-    confirm: Confirm = confirm_always,
+    confirm: ConfirmDispatch = confirm_always,
 ) -> Failure | None:
     """Run attempts until one succeeds or no further one is allowed."""
     failure = None
@@ -93,10 +93,10 @@
 
 async def _run_one_attempt(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     attempt: int,
-    confirm: Confirm,
+    confirm: ConfirmDispatch,
     tried: set[str],
 ) -> Failure | None:
     """Run an attempt on a target with the whole model or, if none, on a chain."""
@@ -131,7 +131,7 @@
     return failure
 
 
-def _may_retry(work: Work, failure: Failure) -> bool:
+def _may_retry(work: CompletionRequest, failure: Failure) -> bool:
     """Return whether another attempt may run the request.
 
     Prevents a second execution of a non-idempotent request. A lost stream is final:
--- a/packages/instance/fulmarward/requests/_locate.py
+++ b/packages/instance/fulmarward/requests/_locate.py
@@ -1,17 +1,17 @@
 """Locators of running requests, and the reader name of this instance."""
 
 from fulmarward._instance import Instance
-from fulmarward.requests._work import Work
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward_core.streams import Locator, Stage, digest_prompt, seal_locator
 
 
-def name_reader(instance: Instance) -> str:
+def make_reader_name(instance: Instance) -> str:
     """Return the reader name sent to engines, unique to this run of the instance."""
     return f"{instance.settings.name}.{instance.member.boot}"
 
 
 def make_locator(
-    instance: Instance, work: Work, attempt: int, stages: tuple[Stage, ...]
+    instance: Instance, work: CompletionRequest, attempt: int, stages: tuple[Stage, ...]
 ) -> str:
     """Return the sealed locator of an attempt, which lets any instance resume it."""
     remaining = work.deadline - instance.read_clock()
--- a/packages/instance/fulmarward/requests/_measure.py
+++ b/packages/instance/fulmarward/requests/_measure.py
@@ -7,7 +7,7 @@
 from fulmarward._instance import Instance
 from fulmarward.admission import find_pool
 from fulmarward.answers import Answer
-from fulmarward.requests._work import Work
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward_core.performance import (
     note_failure,
     note_first_token,
@@ -43,7 +43,7 @@
 
 @contextmanager
 def measure_attempt(
-    instance: Instance, work: Work, answer: Answer, view: TargetView
+    instance: Instance, work: CompletionRequest, answer: Answer, view: TargetView
 ) -> Iterator[Measurement]:
     """Measure the attempt that runs inside the context."""
     measured = Measurement(view=view, sent_at=instance.read_clock())
@@ -60,7 +60,7 @@
 
 
 def _record_tokens(
-    instance: Instance, work: Work, measured: Measurement, tokens: int
+    instance: Instance, work: CompletionRequest, measured: Measurement, tokens: int
 ) -> None:
     now = instance.read_clock()
     if not measured.tokens:
@@ -71,7 +71,7 @@
 
 
 def _record_first_token(
-    instance: Instance, work: Work, measured: Measurement, now: float
+    instance: Instance, work: CompletionRequest, measured: Measurement, now: float
 ) -> None:
     view = measured.view
     pool = find_pool(instance.admission, work.pipeline.model)
--- a/packages/instance/fulmarward/requests/_progress.py
+++ b/packages/instance/fulmarward/requests/_progress.py
@@ -4,8 +4,8 @@
 
 from fulmarward._instance import Instance
 from fulmarward.answers import Answer
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward.requests._locate import make_locator
-from fulmarward.requests._work import Work
 from fulmarward_core.requests import find_new_texts
 from fulmarward_core.streams import Stage, digest_texts
 
@@ -30,7 +30,10 @@
 
 
 def publish_locator(
-    instance: Instance, work: Work, answer: Answer, attempt: AttemptProgress
+    instance: Instance,
+    work: CompletionRequest,
+    answer: Answer,
+    attempt: AttemptProgress,
 ) -> None:
     """Set this attempt's locator on the answer once it covers the answer's texts.
 
@@ -50,19 +53,19 @@
     with their instance and engine: the texts of the new attempt must have the digest
     in the caller's event id.
     """
-    if not answer.owed:
+    if not answer.expected_events:
         return True
     texts = answer.texts + new
-    if len(texts) < answer.owed:
+    if len(texts) < answer.expected_events:
         return not is_over
-    is_same = digest_texts(texts[: answer.owed]) == answer.owed_digest
-    answer.owed = 0
+    is_same = digest_texts(texts[: answer.expected_events]) == answer.expected_digest
+    answer.expected_events = 0
     return is_same
 
 
 def append_texts(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     attempt: AttemptProgress,
     texts: list[str],
--- a/packages/instance/fulmarward/requests/_resume.py
+++ b/packages/instance/fulmarward/requests/_resume.py
@@ -6,8 +6,8 @@
 from fulmarward.answers import Answer
 from fulmarward.requests._attempt import attach_attempt
 from fulmarward.requests._chain import attach_chain
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward.requests._execute import describe_timeout, run_attempts
-from fulmarward.requests._work import Work
 from fulmarward.targets import find_view
 from fulmarward_core.requests import choose_failure
 from fulmarward_core.results import Failure, ResultCode, make_failure
@@ -21,7 +21,7 @@
 
 async def run_resumed(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     locator: Locator,
     event: EventId,
@@ -45,7 +45,7 @@
 
 async def _continue_answer(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     answer: Answer,
     locator: Locator,
     event: EventId,
@@ -59,14 +59,14 @@
         # The request must not run again, or nothing identifies the caller's texts.
         return lost
     if is_incomplete:
-        answer.owed, answer.owed_digest = event.number, event.digest
+        answer.expected_events, answer.expected_digest = event.number, event.digest
     first = instance.generator.randrange(FIRST_RESUMED_ATTEMPT, END_RESUMED_ATTEMPT)
     later = await run_attempts(instance, work, answer, first)
     return later and choose_failure(lost, later)
 
 
 async def _attach(
-    instance: Instance, work: Work, answer: Answer, locator: Locator
+    instance: Instance, work: CompletionRequest, answer: Answer, locator: Locator
 ) -> Failure | None:
     if len(locator.stages) > 1:
         return await attach_chain(
--- a/packages/instance/fulmarward/requests/_route.py
+++ b/packages/instance/fulmarward/requests/_route.py
@@ -2,15 +2,17 @@
 
 from fulmarward._instance import Instance
 from fulmarward.observability import log_event
-from fulmarward.requests._work import Work
+from fulmarward.requests._completion_request import CompletionRequest
 from fulmarward.targets import PREFIX_TOKENS, hash_prefixes
-from fulmarward_core.admission import Outputs, expect_output
+from fulmarward_core.admission import OutputLengths, estimate_output
 from fulmarward_core.declaration import TargetKind, Urgency
 from fulmarward_core.placement import can_serve
-from fulmarward_core.routing import Ask, Choice, TargetView, choose_target
+from fulmarward_core.routing import Choice, RequestProfile, TargetView, choose_target
 
 
-def list_whole_model_views(instance: Instance, work: Work) -> list[TargetView]:
+def list_whole_model_views(
+    instance: Instance, work: CompletionRequest
+) -> list[TargetView]:
     model = work.snapshot.declaration.models[work.pipeline.model]
     return [
         view
@@ -28,7 +30,7 @@
     ]
 
 
-def list_engine_views(instance: Instance, work: Work) -> list[TargetView]:
+def list_engine_views(instance: Instance, work: CompletionRequest) -> list[TargetView]:
     """Return the views of all engines of the request's model, with any layers."""
     return [
         view
@@ -38,11 +40,13 @@
     ]
 
 
-def _make_ask(instance: Instance, work: Work, tried: frozenset[str]) -> Ask:
-    outputs = instance.admission.outputs.get(work.pipeline_name, Outputs())
-    return Ask(
+def _make_ask(
+    instance: Instance, work: CompletionRequest, tried: frozenset[str]
+) -> RequestProfile:
+    outputs = instance.admission.outputs.get(work.pipeline_name, OutputLengths())
+    return RequestProfile(
         prompt_tokens=len(work.prompt.split()),
-        output_tokens=expect_output(outputs, work.max_tokens),
+        output_tokens=estimate_output(outputs, work.max_tokens),
         prefixes=hash_prefixes(work.prompt),
         prefix_tokens=PREFIX_TOKENS,
         slack_s=work.deadline - instance.read_clock(),
@@ -53,7 +57,7 @@
 
 def choose_route(
     instance: Instance,
-    work: Work,
+    work: CompletionRequest,
     attempt: int,
     tried: frozenset[str] = frozenset(),
 ) -> Choice | None:
@@ -64,7 +68,7 @@
         data_centre=instance.settings.data_centre,
         now=instance.read_clock(),
         generator=instance.generator,
-        ask=_make_ask(instance, work, tried),
+        profile=_make_ask(instance, work, tried),
     )
     reason = choice.reason if choice else "no_open_target"
     instance.metrics.decisions.inc({"kind": "route", "reason": reason})
--- a/packages/instance/fulmarward/requests/tests/test_chains.py
+++ b/packages/instance/fulmarward/requests/tests/test_chains.py
@@ -9,7 +9,7 @@
     TargetPlan,
     find_ledger_faults,
     open_stream,
-    read_whole,
+    read_full_stream,
     start_fleet,
 )
 
@@ -58,7 +58,7 @@
 
     async def _check(self, fleet, stream, texts, prompt, tokens):
         self.assertEqual(texts, answer_tokens(prompt, tokens, 24))
-        self.assertTrue(stream.is_whole, stream.events[-1:])
+        self.assertTrue(stream.is_complete, stream.events[-1:])
         ledgers = await fleet.read_ledgers_by_target()
         self.assertEqual(find_ledger_faults(ledgers), [])
         return _list_targets_by_attempt(ledgers, stream.request)
@@ -69,7 +69,7 @@
         for target in ("c1", "c2", "c3", "d1", "d2", "d3"):
             await fleet.control_target(target, lose_replies=2, lose_matching="/steps")
         prompt = "digest [20 tokens]"
-        stream = await read_whole(fleet, "i1", prompt, pipeline="chain")
+        stream = await read_full_stream(fleet, "i1", prompt, pipeline="chain")
         ran = await self._check(fleet, stream, stream.texts, prompt, 20)
         self.assertEqual(set(ran), {1})
 
@@ -145,8 +145,8 @@
             await first.read(10)
             await fleet.processes["i1"].kill()
             await first.read()
-        self.assertFalse(first.is_whole)
-        rest = await read_whole(
+        self.assertFalse(first.is_complete)
+        rest = await read_full_stream(
             fleet, "i2", prompt, pipeline="chain", last_event_id=first.last_event_id
         )
         ran = await self._check(fleet, rest, first.texts + rest.texts, prompt, 150)
--- a/packages/instance/fulmarward/requests/tests/test_drive.py
+++ b/packages/instance/fulmarward/requests/tests/test_drive.py
@@ -6,8 +6,8 @@
 from fulmarward.requests._drive import ChainRun, StageCalls, StageLost, run_position
 from fulmarward.targets import (
     StepDone,
-    StepOrder,
     StepRefused,
+    StepRequest,
     StreamBroken,
     StreamUnknown,
 )
@@ -85,8 +85,8 @@
 
 
 def _make_run(stages, term):
-    def make_order(stage, position, value):
-        return StepOrder(
+    def make_step_request(stage, position, value):
+        return StepRequest(
             request="r",
             attempt=1,
             team="folha",
@@ -103,7 +103,7 @@
         )
 
     calls = StageCalls(run_step=stages.run_step, read_steps=stages.read_steps)
-    return ChainRun(stages=_STAGES, calls=calls, make_order=make_order)
+    return ChainRun(stages=_STAGES, calls=calls, make_step_request=make_step_request)
 
 
 async def _attach(stages, term, first):
--- a/packages/instance/fulmarward/requests/tests/test_resume.py
+++ b/packages/instance/fulmarward/requests/tests/test_resume.py
@@ -10,7 +10,7 @@
     TargetPlan,
     find_ledger_faults,
     open_stream,
-    read_whole,
+    read_full_stream,
     start_fleet,
     wait_until,
 )
@@ -57,7 +57,7 @@
         # Another team, or the same team with another body, sends an event id of this
         # stream. It is refused and gets no part of the answer.
         prompt = "sheet [3 tokens]"
-        stream = await read_whole(fleet, "i1", prompt)
+        stream = await read_full_stream(fleet, "i1", prompt)
         wrong = [
             {"last_event_id": stream.last_event_id, "team": "osservatorio"},
             {"last_event_id": stream.last_event_id, "pipeline": "lookup"},
@@ -80,9 +80,11 @@
         prompt = "cast digest [60 tokens]"
         async with open_stream(fleet, "i2", prompt) as first:
             await first.read(10)
-        rest = await read_whole(fleet, "i2", prompt, last_event_id=first.last_event_id)
+        rest = await read_full_stream(
+            fleet, "i2", prompt, last_event_id=first.last_event_id
+        )
         self.assertEqual(first.texts + rest.texts, _expect_texts(60, prompt))
-        self.assertTrue(rest.is_whole)
+        self.assertTrue(rest.is_complete)
         self.assertEqual(first.request, rest.request)
         self.assertEqual(
             _count_events(await fleet.read_ledgers_by_target(), first.request, "began"),
@@ -99,7 +101,7 @@
         async with open_stream(fleet, "i1", prompt) as stream:
             await stream.read()
         self.assertEqual(stream.texts, _expect_texts(30, prompt))
-        self.assertTrue(stream.is_whole)
+        self.assertTrue(stream.is_complete)
         ledgers = await fleet.read_ledgers_by_target()
         self.assertEqual(_count_events(ledgers, stream.request, "began"), 1)
 
@@ -112,12 +114,12 @@
             await first.read(20)
             await fleet.processes["i1"].kill()
             await first.read()
-        self.assertFalse(first.is_whole)
-        rest = await read_whole(
+        self.assertFalse(first.is_complete)
+        rest = await read_full_stream(
             fleet, "i2", prompt, pipeline="rewrite", last_event_id=first.last_event_id
         )
         self.assertEqual(first.texts + rest.texts, _expect_texts(200, prompt))
-        self.assertTrue(rest.is_whole)
+        self.assertTrue(rest.is_complete)
         ids = [event.id for event in first.events + rest.events if event.id]
         numbers = [int(event_id.rpartition(".")[2]) for event_id in ids]
         self.assertEqual(numbers, list(range(202)))
@@ -144,15 +146,17 @@
                     fleet.processes["i1"].kill(), fleet.processes[dying].kill()
                 )
                 await first.read()
-            self.assertFalse(first.is_whole)
+            self.assertFalse(first.is_complete)
             wrong_id = re.sub("~[0-9a-f]{8}", "~00000000", first.last_event_id)
-            refused = await read_whole(fleet, "i2", prompt, last_event_id=wrong_id)
+            refused = await read_full_stream(
+                fleet, "i2", prompt, last_event_id=wrong_id
+            )
             self.assertEqual(refused.texts, [])
             self.assertEqual(json.loads(refused.events[-1].data)["ran"], "failed")
-            rest = await read_whole(
+            rest = await read_full_stream(
                 fleet, "i2", prompt, last_event_id=first.last_event_id
             )
-            self.assertTrue(rest.is_whole)
+            self.assertTrue(rest.is_complete)
             self.assertEqual(first.texts + rest.texts, _expect_texts(120, prompt))
 
     async def test_lost_engines_and_lost_callers(self):
@@ -196,7 +200,9 @@
         prompt = "moved [150 tokens]"
         async with open_stream(fleet, "i2", prompt) as first:
             await first.read(3)
-        rest = await read_whole(fleet, "i1", prompt, last_event_id=first.last_event_id)
+        rest = await read_full_stream(
+            fleet, "i1", prompt, last_event_id=first.last_event_id
+        )
         self.assertEqual(first.texts + rest.texts, _expect_texts(150, prompt))
         ledgers = await fleet.read_ledgers_by_target()
         self.assertEqual(_count_events(ledgers, first.request, "began"), 1)
@@ -211,7 +217,9 @@
         key = discovery.body["idempotency_key_prefix"] + ".lost"
         for name in ("e1", "e2"):
             await fleet.control_target(name, fail_at_token=20)
-        stream = await read_whole(fleet, "i1", prompt, headers={"Idempotency-Key": key})
+        stream = await read_full_stream(
+            fleet, "i1", prompt, headers={"Idempotency-Key": key}
+        )
         for name in ("e1", "e2"):
             await fleet.control_target(name, fail_at_token=-1)
         self.assertEqual(json.loads(stream.events[-1].data)["ran"], "failed")
@@ -241,7 +249,7 @@
             await fleet.processes[dying].kill()
             await stream.read()
         self.assertEqual(stream.texts, _expect_texts(120, prompt))
-        self.assertTrue(stream.is_whole)
+        self.assertTrue(stream.is_complete)
         async with open_stream(fleet, "i1", prompt, pipeline="rewrite") as once:
             await once.read(15)
             for name in ("e1", "e2"):
--- a/packages/instance/fulmarward/settings/_load.py
+++ b/packages/instance/fulmarward/settings/_load.py
@@ -10,22 +10,22 @@
     Field,
     parse_json,
     read_address,
+    read_integer,
     read_list_of,
     read_one_of,
     read_optional,
     read_record,
-    read_text,
-    read_whole,
+    read_string,
 )
 
 #: Maximum value of any limit.
 MAX_LIMIT = 1_000_000_000
 
-_NAME = read_text(
+_NAME = read_string(
     pattern=r"[a-z0-9][a-z0-9._-]{0,62}",
     expected="a name of lower-case letters, digits, '.', '_' and '-'",
 )
-_PATH = read_text(expected="the path of a file")
+_PATH = read_string(expected="the path of a file")
 _LEVELS = ("debug", "info", "warning", "error")
 
 _READ_TLS = read_record(
@@ -35,7 +35,7 @@
     Limits,
     {
         limit.name: Field(
-            read=read_whole(least=1, most=MAX_LIMIT), default=limit.default
+            read=read_integer(least=1, most=MAX_LIMIT), default=limit.default
         )
         for limit in dataclasses.fields(Limits)
     },
--- a/packages/instance/fulmarward/shares/_spread.py
+++ b/packages/instance/fulmarward/shares/_exchange.py
@@ -34,7 +34,7 @@
     return _make_demand(instance)
 
 
-async def tell_neighbour(instance: Instance, links: PeerLinks, turn: int) -> None:
+async def exchange_demand(instance: Instance, links: PeerLinks, turn: int) -> None:
     """Exchange demand rows with the next neighbour in the rotation."""
     neighbours = select_neighbours(instance.members)
     if not neighbours:
--- a/packages/instance/fulmarward/shares/_split.py
+++ b/packages/instance/fulmarward/shares/_split.py
@@ -4,17 +4,17 @@
 
 from fulmarward._instance import Instance
 from fulmarward.peers import PeerLinks
-from fulmarward.shares._spread import tell_neighbour
+from fulmarward.shares._exchange import exchange_demand
 from fulmarward_core.admission import (
     Bucket,
     average_demand,
-    choose_pause,
-    forget_rows,
-    list_others,
+    choose_gossip_interval,
+    compute_bucket_depth,
+    compute_share_fraction,
+    list_other_demand,
     make_bucket,
+    prune_rows,
     resize_bucket,
-    split_burst,
-    split_share,
 )
 from fulmarward_core.declaration import Team
 from fulmarward_core.membership import MemberState
@@ -33,9 +33,9 @@
 
 def _compute_part(instance: Instance, name: str) -> float:
     demand = instance.admission.demand
-    return split_share(
+    return compute_share_fraction(
         own=demand.own.get(name, 0.0),
-        others=list_others(demand, name),
+        others=list_other_demand(demand, name),
         members=_count_members(instance),
     )
 
@@ -47,7 +47,7 @@
         part = _compute_part(instance, name)
         buckets[name] = make_bucket(
             rate=team.tokens_per_s * part,
-            depth=split_burst(team.burst_tokens, part),
+            depth=compute_bucket_depth(team.burst_tokens, part),
             now=instance.read_clock(),
         )
     return buckets[name]
@@ -58,7 +58,7 @@
     now = instance.read_clock()
     demand, buckets = instance.admission.demand, instance.admission.buckets
     average_demand(demand, now=now)
-    forget_rows(demand, members=frozenset(instance.members.members), now=now)
+    prune_rows(demand, members=frozenset(instance.members.members), now=now)
     teams = instance.snapshot.declaration.teams
     for name in list(buckets):
         team = teams.get(name)
@@ -69,7 +69,7 @@
         resize_bucket(
             buckets[name],
             rate=team.tokens_per_s * part,
-            depth=split_burst(team.burst_tokens, part),
+            depth=compute_bucket_depth(team.burst_tokens, part),
             now=now,
         )
 
@@ -80,8 +80,8 @@
     while True:
         split_shares(instance)
         if pause <= 0:
-            await tell_neighbour(instance, links, turn)
+            await exchange_demand(instance, links, turn)
             turn += 1
-            pause = choose_pause(len(instance.members.members))
+            pause = choose_gossip_interval(len(instance.members.members))
         pause -= 1
         await asyncio.sleep(SPLIT_INTERVAL_S)
--- a/packages/instance/fulmarward/targets/__init__.py
+++ b/packages/instance/fulmarward/targets/__init__.py
@@ -3,8 +3,8 @@
 from fulmarward.targets._engine import (
     EngineStream,
     StreamBroken,
-    StreamOrder,
     StreamRefused,
+    StreamRequest,
     StreamUnknown,
     cancel_stream,
     open_stream,
@@ -12,8 +12,8 @@
     resume_stream,
 )
 from fulmarward.targets._orders import (
+    OrderAccepted,
     OrderRefused,
-    OrderTaken,
     read_held,
     send_order,
 )
@@ -26,15 +26,15 @@
 )
 from fulmarward.targets._service import (
     ServiceAnswer,
-    ServiceOrder,
     ServiceRefused,
+    ServiceRequest,
     ServiceUncertain,
     call_service,
 )
 from fulmarward.targets._steps import (
     StepDone,
-    StepOrder,
     StepRefused,
+    StepRequest,
     close_steps,
     export_cache,
     import_cache,
@@ -49,16 +49,16 @@
     "EngineReport",
     "EngineStream",
     "OrderRefused",
-    "OrderTaken",
+    "OrderAccepted",
     "ServiceAnswer",
-    "ServiceOrder",
+    "ServiceRequest",
     "ServiceRefused",
     "ServiceUncertain",
     "StepDone",
-    "StepOrder",
+    "StepRequest",
     "StepRefused",
     "StreamBroken",
-    "StreamOrder",
+    "StreamRequest",
     "StreamRefused",
     "StreamUnknown",
     "call_service",
--- a/packages/instance/fulmarward/targets/_engine.py
+++ b/packages/instance/fulmarward/targets/_engine.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class StreamOrder:
+class StreamRequest:
     """A request to an engine to generate an answer."""
 
     #: Id of the request and number of the attempt, which together name the stream.
@@ -99,18 +99,21 @@
 
 
 async def open_stream(
-    session: aiohttp.ClientSession, address: str, order: StreamOrder, connect_s: float
+    session: aiohttp.ClientSession,
+    address: str,
+    stream_request: StreamRequest,
+    connect_s: float,
 ) -> EngineStream | StreamRefused | StreamBroken:
     """Start a stream on the engine at `address`."""
     url = f"http://{address}/v1/streams"
     try:
         response = await session.post(
-            url, json=vars(order), timeout=_make_timeout(connect_s)
+            url, json=vars(stream_request), timeout=_make_timeout(connect_s)
         )
         if response.status == 200:
             return EngineStream(
-                request=order.request,
-                attempt=order.attempt,
+                request=stream_request.request,
+                attempt=stream_request.attempt,
                 response=response,
                 next_number=1,
             )
--- a/packages/instance/fulmarward/targets/_orders.py
+++ b/packages/instance/fulmarward/targets/_orders.py
@@ -6,15 +6,15 @@
 
 from fulmarward.targets._engine import CALL_ERRORS, SHORT_CALL_S, StreamBroken
 from fulmarward.targets._reports import parse_held
-from fulmarward_core.placement import Held, Wanted
+from fulmarward_core.placement import DesiredState, ReportedState
 
 
 @dataclass(frozen=True, kw_only=True)
-class OrderTaken:
+class OrderAccepted:
     """The engine holds what was ordered."""
 
     #: What it reports to hold now.
-    held: Held
+    held: ReportedState
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -28,11 +28,11 @@
 async def send_order(
     session: aiohttp.ClientSession,
     address: str,
-    wanted: Wanted,
+    wanted: DesiredState,
     *,
     fencing: int,
     timeout_s: float,
-) -> OrderTaken | OrderRefused | StreamBroken:
+) -> OrderAccepted | OrderRefused | StreamBroken:
     """Order an engine to hold `wanted`; the engine replies once it does."""
     body = {
         "fencing": fencing,
@@ -51,7 +51,7 @@
         ) as answer:
             found = await answer.json()
         if answer.status == 200:
-            return OrderTaken(held=parse_held(found["held"]))
+            return OrderAccepted(held=parse_held(found["held"]))
         return OrderRefused(detail=str(found["error"]))
     except CALL_ERRORS as error:
         return StreamBroken(detail=type(error).__name__)
@@ -59,7 +59,7 @@
 
 async def read_held(
     session: aiohttp.ClientSession, address: str
-) -> Held | StreamBroken:
+) -> ReportedState | StreamBroken:
     """Return what an engine reports to hold."""
     timeout = aiohttp.ClientTimeout(total=SHORT_CALL_S)
     try:
--- a/packages/instance/fulmarward/targets/_reports.py
+++ b/packages/instance/fulmarward/targets/_reports.py
@@ -6,7 +6,7 @@
 import orjson
 
 from fulmarward.targets._engine import CALL_ERRORS, SHORT_CALL_S, StreamBroken
-from fulmarward_core.placement import Held, Wanted
+from fulmarward_core.placement import DesiredState, ReportedState
 from fulmarward_core.routing import LoadReport
 
 #: Default headers that are left out, which saves a fifth of the bytes of a read.
@@ -22,22 +22,24 @@
     #: Whether it reports that it is leaving.
     is_leaving: bool
     #: What it reports to hold.
-    held: Held
+    held: ReportedState
     #: Bytes of the response, including headers.
     size: int
 
 
-def parse_held(body: dict) -> Held:
+def parse_held(body: dict) -> ReportedState:
     """Parse what an engine holds; raises `KeyError` or `ValueError`."""
     first, end = body["layers"]
-    state = Wanted(
+    state = DesiredState(
         model=body["model"],
         version=body["version"],
         layers=(first, end),
         adapters=tuple(sorted(body["adapters"])),
         role=body["role"],
     )
-    return Held(state=state, fencing=body["fencing"], is_loading=bool(body["loading"]))
+    return ReportedState(
+        state=state, fencing=body["fencing"], is_loading=bool(body["loading"])
+    )
 
 
 def measure_answer(answer: aiohttp.ClientResponse, body: bytes) -> int:
--- a/packages/instance/fulmarward/targets/_service.py
+++ b/packages/instance/fulmarward/targets/_service.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ServiceOrder:
+class ServiceRequest:
     """A call to pass on to a service."""
 
     #: HTTP method, path from `/` and query string.
@@ -69,7 +69,7 @@
 async def call_service(
     session: aiohttp.ClientSession,
     address: str,
-    order: ServiceOrder,
+    service_request: ServiceRequest,
     *,
     connect_s: float,
     timeout_s: float,
@@ -79,12 +79,12 @@
     A service sets the header `X-Not-Run: 1` on its response if it refused the call
     without starting it.
     """
-    query = f"?{order.query}" if order.query else ""
+    query = f"?{service_request.query}" if service_request.query else ""
     headers = {
-        "X-Request-Id": order.request,
-        "X-Attempt": str(order.attempt),
-        "X-Team": order.team,
-        "Content-Type": order.content_type or "application/octet-stream",
+        "X-Request-Id": service_request.request,
+        "X-Attempt": str(service_request.attempt),
+        "X-Team": service_request.team,
+        "Content-Type": service_request.content_type or "application/octet-stream",
         # Use a new connection: the service may close a kept-alive one during the
         # call, which leaves open whether the call ran.
         "Connection": "close",
@@ -92,9 +92,9 @@
     timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=connect_s)
     try:
         async with session.request(
-            order.method,
-            f"http://{address}{order.path}{query}",
-            data=order.body,
+            service_request.method,
+            f"http://{address}{service_request.path}{query}",
+            data=service_request.body,
             headers=headers,
             timeout=timeout,
             allow_redirects=False,
--- a/packages/instance/fulmarward/targets/_steps.py
+++ b/packages/instance/fulmarward/targets/_steps.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class StepOrder:
+class StepRequest:
     """One token's pass through one stage."""
 
     #: Id of the request and number of the attempt.
@@ -89,14 +89,14 @@
 
 
 async def run_step(
-    session: aiohttp.ClientSession, address: str, order: StepOrder
+    session: aiohttp.ClientSession, address: str, step_request: StepRequest
 ) -> StepDone | StepRefused | StreamBroken:
     """Run a step on the engine at `address`."""
     url = f"http://{address}/v1/steps"
-    total_s = STEP_TIMEOUT_S if order.position else FIRST_STEP_TIMEOUT_S
+    total_s = STEP_TIMEOUT_S if step_request.position else FIRST_STEP_TIMEOUT_S
     try:
         async with session.post(
-            url, json=vars(order), timeout=_make_timeout(total_s)
+            url, json=vars(step_request), timeout=_make_timeout(total_s)
         ) as response:
             body = await response.json()
             if response.status != 200:
--- a/packages/instance/fulmarward/targets/_watch.py
+++ b/packages/instance/fulmarward/targets/_watch.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from fulmarward._instance import Instance
-from fulmarward.health import note_report, read_drains, show_leaving
+from fulmarward.health import note_report, read_drains, update_leaving_view
 from fulmarward.observability import log_event
 from fulmarward.targets._engine import StreamBroken
 from fulmarward.targets._reports import read_cache_events, read_load
@@ -14,12 +14,12 @@
     REPORT_BYTES,
     REPORT_BYTES_PER_S,
     Pacer,
+    apply_cache_events,
     charge,
     draw_interval,
     forget_undeclared,
     reserve,
     select_followed,
-    take_cache_events,
 )
 from fulmarward_core.membership import MemberState
 from fulmarward_core.routing import TargetView
@@ -69,12 +69,12 @@
         is_idle = view.in_flight == 0 and name not in kept
         if is_idle or view.target != targets.get(name):
             del instance.views[name]
-    for name in instance.report_hurries.keys() - instance.views.keys():
-        del instance.report_hurries[name]
+    for name in instance.report_requests.keys() - instance.views.keys():
+        del instance.report_requests[name]
     for name in kept:
         if name not in instance.views:
             instance.views[name] = TargetView(name=name, target=targets[name])
-            show_leaving(instance, name)
+            update_leaving_view(instance, name)
 
 
 def find_view(instance: Instance, name: str) -> TargetView | None:
@@ -105,7 +105,7 @@
     if isinstance(answer, StreamBroken):
         return
     charge(pacer, answer.size + REQUEST_BYTES - EVENT_BYTES)
-    take_cache_events(view, answer.events, now=instance.read_clock())
+    apply_cache_events(view, answer.events, now=instance.read_clock())
 
 
 def _is_followed(instance: Instance, view: TargetView) -> bool:
@@ -113,7 +113,7 @@
 
 
 async def _watch_load(instance: Instance, view: TargetView, pacer: Pacer) -> None:
-    report_requested = instance.report_hurries.setdefault(view.name, asyncio.Event())
+    report_requested = instance.report_requests.setdefault(view.name, asyncio.Event())
     while _is_followed(instance, view):
         report_requested.clear()
         await _read_report(instance, view, pacer)
--- a/packages/instance/fulmarward/tests/test_stop.py
+++ b/packages/instance/fulmarward/tests/test_stop.py
@@ -8,7 +8,7 @@
     FleetPlan,
     TargetPlan,
     find_ledger_faults,
-    read_whole,
+    read_full_stream,
     start_fleet,
     wait_until,
 )
@@ -46,10 +46,13 @@
         # refuse new work, complete every open answer and exit by itself.
         prompts = [f"sheet {number} [30 tokens]" for number in range(_STREAMS)]
         reading = [
-            asyncio.create_task(read_whole(fleet, "i1", prompt)) for prompt in prompts
+            asyncio.create_task(read_full_stream(fleet, "i1", prompt))
+            for prompt in prompts
         ] + [
             asyncio.create_task(
-                read_whole(fleet, "i1", f"c{number} [200 tokens]", pipeline="chain")
+                read_full_stream(
+                    fleet, "i1", f"c{number} [200 tokens]", pipeline="chain"
+                )
             )
             for number in range(_CHAINS)
         ]
@@ -66,7 +69,7 @@
 
         await wait_until(refuses_work, "new work to be refused")
         answers = await asyncio.gather(*reading)
-        cut = [answer.events[-1:] for answer in answers if not answer.is_whole]
+        cut = [answer.events[-1:] for answer in answers if not answer.is_complete]
         self.assertEqual(cut, [])
         for prompt, answer in zip(prompts, answers, strict=False):
             self.assertEqual(answer.texts, answer_tokens(prompt, 30, 24))
@@ -81,7 +84,9 @@
         prompts = [f"moves {number} [30 tokens]" for number in range(20)]
         began = await _count_began(fleet)
         reading = [
-            asyncio.create_task(read_whole(fleet, "i2", prompt, pipeline="rewrite"))
+            asyncio.create_task(
+                read_full_stream(fleet, "i2", prompt, pipeline="rewrite")
+            )
             for prompt in prompts
         ]
         body = {"model": "rewrite", "prompt": "once [100 tokens]"}
@@ -99,7 +104,7 @@
         self.assertEqual(unknown.body["ran"], "unknown")
         self.assertEqual(await fleet.processes["i2"].child.wait(), 0)
         resuming = [
-            read_whole(
+            read_full_stream(
                 fleet,
                 "i3",
                 prompt,
@@ -111,7 +116,7 @@
         rests = await asyncio.gather(*resuming)
         for prompt, first, rest in zip(prompts, cut, rests, strict=True):
             self.assertEqual(json.loads(first.events[-1].data)["result"], 4002)
-            self.assertTrue(rest.is_whole)
+            self.assertTrue(rest.is_complete)
             expected = answer_tokens(prompt, 30, 24)
             self.assertEqual(first.texts + rest.texts, expected)
         await self._check_call_can_be_repeated(fleet, body, unknown)
--- a/packages/router/fulmarward_router/_life.py
+++ b/packages/router/fulmarward_router/_life.py
@@ -34,6 +34,6 @@
         return self.state in ("leaving", "finishing", "stopped")
 
     @property
-    def takes_streams(self) -> bool:
+    def accepts_streams(self) -> bool:
         """Whether new requests that last for seconds are accepted."""
         return self.state in ("starting", "serving", "leaving")
--- a/packages/router/fulmarward_router/_metrics.py
+++ b/packages/router/fulmarward_router/_metrics.py
@@ -6,9 +6,9 @@
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 
-from fulmarward.observability import count_dropped_lines, make_metric_maker
+from fulmarward.observability import count_dropped_lines, make_metric_factory
 from fulmarward_router._processor import ProcessorMeter
-from fulmarward_router.exchange import Work
+from fulmarward_router.exchange import RequestState
 
 #: Upper bounds of the histogram buckets, in seconds.
 BUCKETS_S = [0.01, 0.03, 0.06, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0]
@@ -45,7 +45,7 @@
 
 def make_router_metrics() -> RouterMetrics:
     """Return new metrics with their own registry."""
-    factory = make_metric_maker(BUCKETS_S)
+    factory = make_metric_factory(BUCKETS_S)
     return RouterMetrics(
         registry=factory.registry,
         requests=factory.count("requests_total", "Requests, by service and outcome."),
@@ -77,23 +77,23 @@
 
 
 def observe_request(
-    metrics: RouterMetrics, work: Work | None, outcome: str, took_s: float
+    metrics: RouterMetrics, state: RequestState | None, outcome: str, took_s: float
 ) -> None:
     """Record a finished request."""
     kind = outcome.partition(":")[0]
-    if work is None:
+    if state is None:
         metrics.requests.inc({"service": "", "outcome": kind})
         return
-    labels = {"service": work.service}
+    labels = {"service": state.service}
     metrics.requests.inc({**labels, "outcome": kind})
-    if work.attempts > 1:
-        metrics.retries.add(labels, work.attempts - 1)
-    if work.repaths:
-        metrics.moves.add({"how": "path"}, work.repaths)
-    if work.resumes:
-        metrics.moves.add({"how": "resumed"}, work.resumes)
-    if work.answered_at is not None:
-        metrics.first_event.observe(labels, work.answered_at - work.arrived_at)
+    if state.attempts > 1:
+        metrics.retries.add(labels, state.attempts - 1)
+    if state.repaths:
+        metrics.moves.add({"how": "path"}, state.repaths)
+    if state.resumes:
+        metrics.moves.add({"how": "resumed"}, state.resumes)
+    if state.first_event_at is not None:
+        metrics.first_event.observe(labels, state.first_event_at - state.arrived_at)
     metrics.request_duration.observe(labels, took_s)
 
 
--- a/packages/router/fulmarward_router/_status.py
+++ b/packages/router/fulmarward_router/_status.py
@@ -5,7 +5,7 @@
 
 from fulmarward_core.catalogue import TargetCatalogue
 from fulmarward_core.fleet import TargetRecord
-from fulmarward_core.layers import count_holders, find_gaps, group_by_centre
+from fulmarward_core.layers import count_holders, find_gaps, group_by_data_centre
 from fulmarward_core.suspicion import SuspicionTable
 from fulmarward_router._life import Life
 from fulmarward_router.mesh import InstanceIdentity, MemberTable
@@ -29,7 +29,7 @@
 def describe_status(instance: StatusSource, *, now: float) -> dict[str, Any]:
     """Return the status of an instance, with ages in seconds."""
     catalogue = instance.catalogue
-    out_since = instance.watch.out_since
+    unreachable_since = instance.watch.unreachable_since
     return {
         "instance": instance.own.name,
         "state": instance.life.state,
@@ -38,8 +38,10 @@
             "confirmed_s_ago": _count_age(instance.configuration.confirmed_at, now),
         },
         "store": {
-            "is_reachable": out_since is None,
-            "out_for_s": None if out_since is None else round(now - out_since, 3),
+            "is_reachable": unreachable_since is None,
+            "out_for_s": None
+            if unreachable_since is None
+            else round(now - unreachable_since, 3),
         },
         "targets": {
             "store_version": catalogue.version,
@@ -108,7 +110,7 @@
             "missing": _describe_missing(layers, holders),
             "missing_by_data_centre": {
                 data_centre: _describe_missing(layers, members)
-                for data_centre, members in group_by_centre(holders).items()
+                for data_centre, members in group_by_data_centre(holders).items()
             },
         }
     return described
--- a/packages/router/fulmarward_router/daemon.py
+++ b/packages/router/fulmarward_router/daemon.py
@@ -37,12 +37,12 @@
 )
 from fulmarward_router._status import describe_status
 from fulmarward_router.exchange import (
-    CallerFront,
+    CallerHandler,
     CallerServer,
     EngineService,
     FailureDetector,
     OccupancyReader,
-    PaceWatch,
+    PaceMonitor,
     PlainService,
     ServiceContext,
     TargetClient,
@@ -65,9 +65,9 @@
 from fulmarward_router.state import (
     ConfigurationHolder,
     InstanceRows,
-    Knowledge,
+    InstanceState,
     StoreWatch,
-    TargetNews,
+    TargetChangeHandler,
 )
 
 #: Fraction of the time between SIGTERM and SIGKILL in which new long requests are
@@ -172,7 +172,7 @@
         self.members = MemberTable(own=self.own)
         self.catalogue = TargetCatalogue()
         self.suspicions = SuspicionTable()
-        self.target_news = TargetNews(
+        self.target_change_handler = TargetChangeHandler(
             suspicions=self.suspicions, note_urgent=self._notify_peers
         )
         self.paces = PaceTable()
@@ -201,12 +201,12 @@
             catalogue=self.catalogue,
             read_clock=clock,
             note_change=self._notify_peers,
-            note_targets=self.target_news.note,
-            is_among_first=lambda count: self.knowledge.is_among_first(count),
+            note_targets=self.target_change_handler.handle_changes,
+            is_among_first=lambda count: self.instance_state.is_among_first(count),
             is_large=lambda: self.members.is_large,
             read_heartbeat_interval_s=lambda: self.members.heartbeat_interval_s,
         )
-        self.knowledge = Knowledge(
+        self.instance_state = InstanceState(
             own=self.own,
             members=self.members,
             configuration=self.configuration,
@@ -219,15 +219,15 @@
             read_clock=clock,
             is_ready=self.is_ready,
             is_leaving=lambda: self.life.is_stopping,
-            is_store_reachable=lambda: self.watch.out_since is None,
+            is_store_reachable=lambda: self.watch.unreachable_since is None,
             note_change=self._notify_peers,
-            note_targets=self.target_news.note,
+            note_targets=self.target_change_handler.handle_changes,
             link_bytes_per_s=settings.link_bytes_per_s,
         )
         self.mesh = Mesh(
             own=self.own,
             members=self.members,
-            state=self.knowledge,
+            state=self.instance_state,
             read_clock=clock,
             count_bytes=self._count_bytes,
             decode=self.meter.measure("message_decoding", decode_message),
@@ -244,7 +244,7 @@
             name=settings.name,
             boot=self.own.boot,
             is_wanted=self._wants_lease,
-            is_store_out=self.knowledge.is_store_out,
+            is_store_out=self.instance_state.is_store_out,
             has_ended=self.members.has_ended,
             read_clock=clock,
         )
@@ -262,7 +262,7 @@
             TargetClient(session=target_session, dialect=self.dialect)
         )
 
-    def _make_front(self, client: TargetClient) -> CallerFront:
+    def _make_front(self, client: TargetClient) -> CallerHandler:
         context = ServiceContext(
             client=client,
             dialect=self.dialect,
@@ -286,30 +286,30 @@
         )
         self.engines = EngineService(
             context=context,
-            watch=self.failure_detector,
+            failure_detector=self.failure_detector,
             is_stopping=lambda: self.life.is_stopping,
         )
-        return CallerFront(
+        return CallerHandler(
             dialect=self.dialect,
             configuration=self.configuration,
             engines=self.engines,
-            plain=PlainService(context=context, watch=self.failure_detector),
+            plain=PlainService(context=context, failure_detector=self.failure_detector),
             find_budget=self._find_budget,
             read_clock=self._clock,
             is_stopping=lambda: self.life.is_stopping,
-            takes_streams=lambda: self.life.takes_streams,
-            observe=lambda work, outcome, took_s: observe_request(
-                self.metrics, work, outcome, took_s
+            accepts_streams=lambda: self.life.accepts_streams,
+            observe=lambda state, outcome, took_s: observe_request(
+                self.metrics, state, outcome, took_s
             ),
         )
 
-    def _make_pace_watch(self) -> PaceWatch:
-        return PaceWatch(
+    def _make_pace_watch(self) -> PaceMonitor:
+        return PaceMonitor(
             dialect=self.dialect,
             catalogue=self.catalogue,
             paces=self.paces,
             data_centre=self.own.data_centre,
-            is_watcher=lambda: self.members.is_first_nearby(now=self._clock()),
+            is_reader=lambda: self.members.is_first_in_data_centre(now=self._clock()),
             sees_slow_streams=self._sees_slow_streams,
             read_clock=self._clock,
             note_change=self._notify_peers,
@@ -329,7 +329,9 @@
     def _is_occupancy_reader(self) -> bool:
         """Return whether no hub reads the occupancy on this instance's behalf."""
         now = self._clock()
-        return not self.members.has_hubs or self.members.is_first_nearby(now=now)
+        return not self.members.has_hubs or self.members.is_first_in_data_centre(
+            now=now
+        )
 
     def _sees_slow_streams(self) -> bool:
         """Return whether this instance or a peer nearby observes slow streams."""
@@ -351,11 +353,11 @@
 
     def _wants_lease(self) -> bool:
         """Return whether this instance holds the lease or is the first candidate."""
-        if self.life.is_stopping or not self.configuration.known.is_set():
+        if self.life.is_stopping or not self.configuration.available.is_set():
             return False
         if self.lease.is_held():
             return True
-        return self.knowledge.is_among_first(1)
+        return self.instance_state.is_among_first(1)
 
     def _notify_peers(self) -> None:
         self.mesh.notify()
@@ -424,8 +426,8 @@
         )
         front = CallerServer(
             self.front.handle,
-            read_idle_s=self.front.read_idle_s,
-            most_header_bytes=MAX_HEADER_BYTES,
+            read_idle_timeout_s=self.front.read_idle_timeout_s,
+            max_header_bytes=MAX_HEADER_BYTES,
         )
         ready = make_ready_handler(is_ready=self.is_ready)
         handlers = [
@@ -442,7 +444,7 @@
 
     async def _become_ready(self) -> None:
         """Become ready once the configuration and the targets are known."""
-        await self.configuration.known.wait()
+        await self.configuration.available.wait()
         while not self.catalogue.is_known:
             await asyncio.sleep(0.02)
         if self.life.state == "starting":
@@ -494,7 +496,7 @@
             elapsed_s = self._clock() - began_at
             if (
                 elapsed_s >= grace_s * ACCEPT_STREAMS_FRACTION
-                and self.life.takes_streams
+                and self.life.accepts_streams
             ):
                 self.life.refuse_streams()
             is_idle = self.front.open_requests.total() == 0
--- a/packages/router/fulmarward_router/exchange/__init__.py
+++ b/packages/router/fulmarward_router/exchange/__init__.py
@@ -1,25 +1,25 @@
 """Handles callers' requests, from arrival to the final response."""
 
+from fulmarward_router.exchange._caller_handler import CallerHandler, CallerServer
 from fulmarward_router.exchange._context import ServiceContext
 from fulmarward_router.exchange._engines import EngineService
 from fulmarward_router.exchange._failure_detector import FailureDetector
-from fulmarward_router.exchange._front import CallerFront, CallerServer
 from fulmarward_router.exchange._occupancy import OccupancyReader
-from fulmarward_router.exchange._paces import PaceWatch
+from fulmarward_router.exchange._paces import PaceMonitor
 from fulmarward_router.exchange._plain import PlainService
+from fulmarward_router.exchange._request_state import RequestState
 from fulmarward_router.exchange._send import TargetClient, make_target_session
-from fulmarward_router.exchange._work import Work
 
 __all__ = [
-    "CallerFront",
+    "CallerHandler",
     "CallerServer",
     "EngineService",
     "FailureDetector",
     "OccupancyReader",
-    "PaceWatch",
+    "PaceMonitor",
     "PlainService",
     "ServiceContext",
     "TargetClient",
-    "Work",
+    "RequestState",
     "make_target_session",
 ]
--- a/packages/router/fulmarward_router/exchange/_admission.py
+++ b/packages/router/fulmarward_router/exchange/_admission.py
@@ -20,11 +20,11 @@
 from fulmarward_core.results import ResultCode
 from fulmarward_router.exchange._path_finder import PathFinder
 from fulmarward_router.exchange._pipe_limiter import PipeLimiter
-from fulmarward_router.exchange._work import (
+from fulmarward_router.exchange._request_state import (
     RejectedRequest,
+    RequestState,
     Shortage,
     TruncatedResponse,
-    Work,
 )
 
 #: Seconds for which a request waits for capacity on a path before it is rejected. This
@@ -47,12 +47,12 @@
 REFUSED_RETRY_S = 0.05
 
 
-def compute_resume_end(work: Work) -> float:
+def compute_resume_end(state: RequestState) -> float:
     """Return until when a started stream may wait before it resumes."""
     last_active_at = (
-        work.arrived_at if work.last_write_at is None else work.last_write_at
+        state.arrived_at if state.last_write_at is None else state.last_write_at
     )
-    return min(work.deadline, last_active_at + RESUME_TIMEOUT_S)
+    return min(state.deadline, last_active_at + RESUME_TIMEOUT_S)
 
 
 class AdmissionQueue:
@@ -74,35 +74,35 @@
         self._queues: defaultdict[str, WaitQueue] = defaultdict(WaitQueue)
 
     async def await_path(
-        self, work: Work, engine: EngineModel, wanted: PathRequest
+        self, state: RequestState, engine: EngineModel, wanted: PathRequest
     ) -> tuple[Hop, ...]:
         """Return a path, waiting for capacity.
 
         Raises `RejectedRequest`, or `TruncatedResponse` if the response has started.
         """
         began_at = self._read_clock()
-        queue = self._queues[work.service]
-        request = _make_request(work)
+        queue = self._queues[state.service]
+        request = _make_request(state)
         shortage = Shortage.KV_CACHE
         try:
             while True:
                 now = self._read_clock()
                 if queue.is_next(request, now=now):
                     wait_class = classify_request(request, now=now)
-                    found = self._choose_path(work, engine, wanted, wait_class)
+                    found = self._choose_path(state, engine, wanted, wait_class)
                     if not isinstance(found, Shortage):
                         return found
                     shortage = found
                 now = self._read_clock()
-                if now >= self._compute_wait_end(work, began_at, now):
+                if now >= self._compute_wait_end(state, began_at, now):
                     break
                 queue.add(request)
                 await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             queue.remove(request)
-        if work.has_begun:
+        if state.has_begun:
             raise TruncatedResponse(cause="no path to resume on")
-        if self._finder.has_whole_model(work.service, engine):
+        if self._finder.has_whole_model(state.service, engine):
             raise RejectedRequest(
                 ResultCode.QUEUE_FULL,
                 cause="no path has room",
@@ -117,43 +117,45 @@
         )
 
     def find_retry_after_s(
-        self, work: Work, engine: EngineModel, wanted: PathRequest
+        self, state: RequestState, engine: EngineModel, wanted: PathRequest
     ) -> float:
         """Return the retry delay for a request that a target refused."""
-        has_room = self._finder.choose(work.service, engine, wanted) is not None
+        has_room = self._finder.choose(state.service, engine, wanted) is not None
         return REFUSED_RETRY_S if has_room else choose_retry_after_s(random.random())
 
     def _choose_path(
         self,
-        work: Work,
+        state: RequestState,
         engine: EngineModel,
         wanted: PathRequest,
         wait_class: WaitClass,
     ) -> tuple[Hop, ...] | Shortage:
         """Return the best path, within one data centre if the link between is full."""
         wanted = replace(wanted, kv_share=find_kv_share(wait_class))
-        path = self._finder.choose(work.service, engine, wanted)
+        path = self._finder.choose(state.service, engine, wanted)
         if path is None:
             return Shortage.KV_CACHE
         if self._pipe.reserve(engine, wanted, path):
             return path
         within = replace(wanted, may_cross=False)
-        return self._finder.choose(work.service, engine, within) or Shortage.PIPE
+        return self._finder.choose(state.service, engine, within) or Shortage.PIPE
 
-    def _compute_wait_end(self, work: Work, began_at: float, now: float) -> float:
+    def _compute_wait_end(
+        self, state: RequestState, began_at: float, now: float
+    ) -> float:
         """Return until when a request may wait for a path."""
-        if work.has_begun:
-            return compute_resume_end(work)
-        is_incomplete = self._catalogue.may_be_short(now=now)
+        if state.has_begun:
+            return compute_resume_end(state)
+        is_incomplete = self._catalogue.may_be_incomplete(now=now)
         timeout_s = INCOMPLETE_TIMEOUT_S if is_incomplete else SATURATED_TIMEOUT_S
-        return min(work.deadline, began_at + timeout_s)
+        return min(state.deadline, began_at + timeout_s)
 
 
-def _make_request(work: Work) -> WaitingRequest:
+def _make_request(state: RequestState) -> WaitingRequest:
     return WaitingRequest(
-        key=id(work),
-        urgency=work.urgency,
-        arrived_at=work.arrived_at,
-        objective_s=work.route.objective_s,
-        is_started=work.has_begun or work.last_event is not None,
+        key=id(state),
+        urgency=state.urgency,
+        arrived_at=state.arrived_at,
+        objective_s=state.route.objective_s,
+        is_started=state.has_begun or state.last_event is not None,
     )
--- a/packages/router/fulmarward_router/exchange/_attempt.py
+++ b/packages/router/fulmarward_router/exchange/_attempt.py
@@ -6,9 +6,9 @@
 
 from fulmarward_core.fleet import EngineModel
 from fulmarward_core.loads import Reservation
-from fulmarward_core.paces import SlowSigns
+from fulmarward_core.paces import SlowStreamDetector
 from fulmarward_core.paths import Hop, PathRequest
-from fulmarward_router.exchange._work import Work
+from fulmarward_router.exchange._request_state import RequestState
 
 
 class Attempt:
@@ -17,13 +17,13 @@
     def __init__(
         self,
         *,
-        work: Work,
+        state: RequestState,
         engine: EngineModel,
         wanted: PathRequest,
         path: tuple[Hop, ...],
         reservation: Reservation,
     ) -> None:
-        self.work = work
+        self.state = state
         self.engine = engine
         self.wanted = wanted
         self.path = path
@@ -41,7 +41,7 @@
         self.last_event_at = float("-inf")
         self.checks = 0
         self.has_begun = False
-        self.slow_signs = SlowSigns()
+        self.slow_signs = SlowStreamDetector()
         #: Aborts the attempt at the request's deadline.
         self.deadline_timer: asyncio.TimerHandle | None = None
 
--- a/packages/router/fulmarward_router/exchange/_front.py
+++ b/packages/router/fulmarward_router/exchange/_caller_handler.py
@@ -20,7 +20,11 @@
 )
 from fulmarward_router.exchange._engines import EngineService
 from fulmarward_router.exchange._plain import PlainService
-from fulmarward_router.exchange._work import RejectedRequest, TruncatedResponse, Work
+from fulmarward_router.exchange._request_state import (
+    RejectedRequest,
+    RequestState,
+    TruncatedResponse,
+)
 from fulmarward_router.ports import TargetDialect
 from fulmarward_router.state import ConfigurationHolder
 
@@ -64,24 +68,24 @@
         self,
         handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
         *,
-        read_idle_s: Callable[[], float],
-        most_header_bytes: int,
+        read_idle_timeout_s: Callable[[], float],
+        max_header_bytes: int,
     ) -> None:
         super().__init__(
             handler,
             handler_cancellation=True,
             access_log=None,
-            max_field_size=most_header_bytes,
-            max_line_size=most_header_bytes,
+            max_field_size=max_header_bytes,
+            max_line_size=max_header_bytes,
         )
-        self._read_idle_timeout_s = read_idle_s
+        self._read_idle_timeout_s = read_idle_timeout_s
 
     def __call__(self) -> Any:  # noqa: ANN401
         self._kwargs["keepalive_timeout"] = self._read_idle_timeout_s()
         return super().__call__()
 
 
-class CallerFront:
+class CallerHandler:
     """Routes each request to its service and records how it ended."""
 
     def __init__(
@@ -94,8 +98,8 @@
         find_budget: Callable[[str], RetryBudget],
         read_clock: Callable[[], float],
         is_stopping: Callable[[], bool],
-        takes_streams: Callable[[], bool],
-        observe: Callable[[Work | None, str, float], None],
+        accepts_streams: Callable[[], bool],
+        observe: Callable[[RequestState | None, str, float], None],
     ) -> None:
         self._dialect = dialect
         self._configuration = configuration
@@ -104,12 +108,12 @@
         self._find_budget = find_budget
         self._read_clock = read_clock
         self._is_stopping = is_stopping
-        self._takes_streams = takes_streams
+        self._accepts_streams = accepts_streams
         self._observe = observe
         #: Number of open requests by service.
         self.open_requests: Counter[str] = Counter()
 
-    def read_idle_s(self) -> float:
+    def read_idle_timeout_s(self) -> float:
         """Return the seconds that a caller's connection may stay idle."""
         current = self._configuration.current
         return DEFAULT_IDLE_TIMEOUT_S if current is None else current.limits.idle_s
@@ -117,22 +121,22 @@
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Respond to a request."""
         arrived_at = self._read_clock()
-        work: Work | None = None
+        state: RequestState | None = None
         outcome = "left"
         try:
-            work = await self._parse_request(request, arrived_at)
-            self.open_requests[work.service] += 1
+            state = await self._parse_request(request, arrived_at)
+            self.open_requests[state.service] += 1
             try:
-                answer = await self._serve(work)
+                answer = await self._serve(state)
             finally:
-                self.open_requests[work.service] -= 1
+                self.open_requests[state.service] -= 1
             outcome = f"status {answer.status}"
             if self._is_stopping():
                 answer.force_close()
             return answer
         except RejectedRequest as rejection:
             outcome = rejection.code.name.lower()
-            return self._make_error_response(request, work, rejection)
+            return self._make_error_response(request, state, rejection)
         except TruncatedResponse as truncated:
             outcome = f"cut: {truncated.cause}"
             return _close_connection(request)
@@ -141,27 +145,29 @@
             raise
         except Exception as error:
             outcome = f"error: {error!r}"
-            log_event("request_error", exc_info=error, request=_get_request_id(work))
+            log_event("request_error", exc_info=error, request=_get_request_id(state))
             raise ConnectionResetError("internal error") from error
         finally:
-            self._record_end(work, outcome, arrived_at)
+            self._record_end(state, outcome, arrived_at)
 
-    async def _serve(self, work: Work) -> web.StreamResponse:
-        spec = work.configuration.services.get(work.service)
+    async def _serve(self, state: RequestState) -> web.StreamResponse:
+        spec = state.configuration.services.get(state.service)
         if spec is None:
             raise RejectedRequest(
                 ResultCode.NO_TARGET, cause="service", retry_after_s=1.0
             )
-        self._find_budget(work.service).note_request(now=work.arrived_at)
+        self._find_budget(state.service).note_request(now=state.arrived_at)
         if spec.engine is None:
-            return await self._plain.serve(work)
-        if not self._takes_streams():
+            return await self._plain.serve(state)
+        if not self._accepts_streams():
             raise RejectedRequest(
                 ResultCode.STOPPING, cause="stopping", retry_after_s=STOPPING_RETRY_S
             )
-        return await self._engines.serve(work)
+        return await self._engines.serve(state)
 
-    async def _parse_request(self, request: web.BaseRequest, arrived_at: float) -> Work:
+    async def _parse_request(
+        self, request: web.BaseRequest, arrived_at: float
+    ) -> RequestState:
         """Parse and route a request; raises `RejectedRequest`."""
         configuration = self._configuration.current
         if configuration is None:
@@ -186,7 +192,7 @@
         if route is None:
             raise self._make_denial(ResultCode.PATH_UNKNOWN, "no route", arrived_at)
         team = None
-        if configuration.has_teams and not route.is_public:
+        if configuration.requires_team_key and not route.is_public:
             team = find_team(configuration, facts.key)
             if team is None:
                 raise self._make_denial(
@@ -194,7 +200,7 @@
                 )
         body = await self._read_body(request, configuration)
         deadline_s = facts.deadline_s if facts.deadline_s else DEFAULT_TIMEOUT_S
-        return Work(
+        return RequestState(
             request=request,
             headers=request.headers,
             body=body,
@@ -261,7 +267,10 @@
         return b"".join(parts)
 
     def _make_error_response(
-        self, request: web.BaseRequest, work: Work | None, rejection: RejectedRequest
+        self,
+        request: web.BaseRequest,
+        state: RequestState | None,
+        rejection: RejectedRequest,
     ) -> web.Response:
         status = _STATUSES.get(rejection.code, 503)
         headers = {"Content-Type": "application/json"}
@@ -269,11 +278,11 @@
             headers["Retry-After"] = f"{rejection.retry_after_s:g}"
         body = {"error": {"code": int(rejection.code), "message": rejection.cause}}
         answer = web.Response(status=status, body=orjson.dumps(body), headers=headers)
-        if self._is_stopping() or (work is None and not request.content.is_eof()):
+        if self._is_stopping() or (state is None and not request.content.is_eof()):
             answer.force_close()
         log_event(
             "request_refused",
-            request=_get_request_id(work),
+            request=_get_request_id(state),
             status=status,
             code=int(rejection.code),
             cause=rejection.cause,
@@ -283,26 +292,30 @@
         )
         return answer
 
-    def _record_end(self, work: Work | None, outcome: str, arrived_at: float) -> None:
+    def _record_end(
+        self, state: RequestState | None, outcome: str, arrived_at: float
+    ) -> None:
         took_s = self._read_clock() - arrived_at
-        self._observe(work, outcome, took_s)
-        if work is None:
+        self._observe(state, outcome, took_s)
+        if state is None:
             return
-        first_s = None if work.answered_at is None else work.answered_at - arrived_at
+        first_s = (
+            None if state.first_event_at is None else state.first_event_at - arrived_at
+        )
         log_event(
             "request_ended",
-            request=work.facts.request_id,
+            request=state.facts.request_id,
             outcome=outcome,
-            route=work.route.name,
-            service=work.service,
-            team=None if work.team is None else work.team.name,
-            configuration=work.configuration.version,
-            attempts=work.attempts,
-            repaths=work.repaths,
-            resumes=work.resumes,
-            targets=list(work.targets),
-            last_event=work.last_event,
-            pause_s=round(work.longest_pause_s, 4),
+            route=state.route.name,
+            service=state.service,
+            team=None if state.team is None else state.team.name,
+            configuration=state.configuration.version,
+            attempts=state.attempts,
+            repaths=state.repaths,
+            resumes=state.resumes,
+            targets=list(state.targets),
+            last_event=state.last_event,
+            pause_s=round(state.longest_pause_s, 4),
             first_s=None if first_s is None else round(first_s, 4),
             took_s=round(took_s, 4),
         )
@@ -322,5 +335,5 @@
     return answer
 
 
-def _get_request_id(work: Work | None) -> str | None:
-    return None if work is None else work.facts.request_id
+def _get_request_id(state: RequestState | None) -> str | None:
+    return None if state is None else state.facts.request_id
--- a/packages/router/fulmarward_router/exchange/_context.py
+++ b/packages/router/fulmarward_router/exchange/_context.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass
 
 from fulmarward.observability import log_event
-from fulmarward_core.attempts import choose_end, may_retry, may_run_again
+from fulmarward_core.attempts import choose_result_code, may_retry, may_run_again
 from fulmarward_core.catalogue import TargetCatalogue
 from fulmarward_core.loads import LoadLedger
 from fulmarward_core.paces import PaceTable
 from fulmarward_core.quotas import UNSTARTED_SHARE, RetryBudget
 from fulmarward_core.results import ResultCode
 from fulmarward_core.suspicion import SuspicionTable
+from fulmarward_router.exchange._request_state import RejectedRequest, RequestState
 from fulmarward_router.exchange._send import TargetClient
-from fulmarward_router.exchange._work import RejectedRequest, Work
 from fulmarward_router.ports import TargetDialect
 
 
@@ -39,86 +39,88 @@
     #: Returns seconds on the monotonic clock.
     read_clock: Callable[[], float]
 
-    def take_retry(self, work: Work, *, part: float = 1.0) -> bool:
+    def take_retry(self, state: RequestState, *, part: float = 1.0) -> bool:
         """Consume one retry, if the route and the retry budget allow it.
 
         The request may use only a `part` of this instance's share of the budget.
         """
         now = self.read_clock()
-        is_allowed = may_retry(work.make_tally(), now=now)
-        is_taken = is_allowed and self._take_from_budget(work, now, part)
-        self._log_retry(work, now, is_taken=is_taken, is_allowed=is_allowed)
+        is_allowed = may_retry(state.make_tally(), now=now)
+        is_taken = is_allowed and self._take_from_budget(state, now, part)
+        self._log_retry(state, now, is_taken=is_taken, is_allowed=is_allowed)
         return is_taken
 
-    def take_retry_early(self, work: Work) -> bool:
+    def take_retry_early(self, state: RequestState) -> bool:
         """Consume a retry for a running attempt before aborting it.
 
         Returns whether there was one. Guards against several streams that rely on the
         same last retry: all would be aborted, and all but one truncated.
         """
         now = self.read_clock()
-        part = 1.0 if work.has_begun else UNSTARTED_SHARE
-        is_allowed = may_run_again(work.make_tally(), now=now)
-        is_taken = is_allowed and self._take_from_budget(work, now, part)
+        part = 1.0 if state.has_begun else UNSTARTED_SHARE
+        is_allowed = may_run_again(state.make_tally(), now=now)
+        is_taken = is_allowed and self._take_from_budget(state, now, part)
         if is_taken:
-            self._log_retry(work, now, is_taken=True, is_allowed=True)
+            self._log_retry(state, now, is_taken=True, is_allowed=True)
         return is_taken
 
-    def _take_from_budget(self, work: Work, now: float, part: float) -> bool:
-        return self.find_budget(work.service).take_retry(
+    def _take_from_budget(self, state: RequestState, now: float, part: float) -> bool:
+        return self.find_budget(state.service).take_retry(
             share=self.find_share(), now=now, part=part
         )
 
-    async def await_retry(self, work: Work, *, until: float) -> bool:
+    async def await_retry(self, state: RequestState, *, until: float) -> bool:
         """Consume one retry for a response that has started, waiting until it is free.
 
         Guards against truncating a response only because this instance's share is used
         up for the moment: the budget's sliding window soon frees the next retry.
         """
-        budget = self.find_budget(work.service)
+        budget = self.find_budget(state.service)
         budget.begin_wait(until=until)
         try:
-            is_taken = await self._poll_budget(work, budget, until)
+            is_taken = await self._poll_budget(state, budget, until)
         finally:
             budget.end_wait(until=until)
         now = self.read_clock()
-        is_allowed = may_retry(work.make_tally(), now=now)
-        self._log_retry(work, now, is_taken=is_taken, is_allowed=is_allowed)
+        is_allowed = may_retry(state.make_tally(), now=now)
+        self._log_retry(state, now, is_taken=is_taken, is_allowed=is_allowed)
         return is_taken
 
-    async def _poll_budget(self, work: Work, budget: RetryBudget, until: float) -> bool:
+    async def _poll_budget(
+        self, state: RequestState, budget: RetryBudget, until: float
+    ) -> bool:
         """Poll the budget until it grants a retry or the request may not retry."""
         is_logged = False
         while True:
             now = self.read_clock()
-            if not may_retry(work.make_tally(), now=now):
+            if not may_retry(state.make_tally(), now=now):
                 return False
-            turn = budget.take_turn(until=until, share=self.find_share(), now=now)
-            if turn.ask_at is None:
+            turn = budget.poll_retry(until=until, share=self.find_share(), now=now)
+            if turn.poll_at is None:
                 return turn.is_taken
             if not is_logged:
-                self._log_wait(work, until - now)
+                self._log_wait(state, until - now)
             is_logged = True
-            await asyncio.sleep(turn.ask_at - now)
+            await asyncio.sleep(turn.poll_at - now)
 
-    def _log_wait(self, work: Work, for_s: float) -> None:
+    def _log_wait(self, state: RequestState, for_s: float) -> None:
         log_event(
             "retry_awaited",
-            request=work.facts.request_id,
-            attempts=work.attempts,
-            last_event=work.last_event,
+            request=state.facts.request_id,
+            attempts=state.attempts,
+            last_event=state.last_event,
             for_s=round(for_s, 3),
         )
 
     def _log_retry(
-        self, work: Work, now: float, *, is_taken: bool, is_allowed: bool
+        self, state: RequestState, now: float, *, is_taken: bool, is_allowed: bool
     ) -> None:
-        tally = work.make_tally()
+        tally = state.make_tally()
         share = self.find_share()
-        count = self.find_budget(work.service).count(share=share, now=now)
+        count = self.find_budget(state.service).count(share=share, now=now)
         log_event(
             "retry_taken" if is_taken else "retry_denied",
-            request=work.facts.request_id,
+            request=state.facts.request_id,
             cause=None if is_taken else ("budget" if is_allowed else "route"),
             attempts=tally.attempts,
             runs=tally.runs,
@@ -128,17 +130,17 @@
             allowed=round(count.allowed, 2),
             requests=count.requests,
             share=round(share, 4),
-            has_begun=work.has_begun,
+            has_begun=state.has_begun,
         )
 
     def make_rejection(
-        self, work: Work, *, cause: str, retry_after_s: float
+        self, state: RequestState, *, cause: str, retry_after_s: float
     ) -> RejectedRequest:
         """Return the rejection of a request that no target has answered.
 
         It has a retry delay only if no target executed anything and time is left.
         """
-        code = choose_end(work.make_tally(), now=self.read_clock())
+        code = choose_result_code(state.make_tally(), now=self.read_clock())
         has_run = code is not ResultCode.TARGET_REFUSED
         return RejectedRequest(
             code, cause=cause, retry_after_s=None if has_run else retry_after_s
