--- a/packages/router/fulmarward_router/exchange/_engines.py
+++ b/packages/router/fulmarward_router/exchange/_engines.py
@@ -23,8 +23,8 @@
 from fulmarward_router.exchange._failure_detector import FailureDetector
 from fulmarward_router.exchange._path_finder import PathFinder
 from fulmarward_router.exchange._pipe_limiter import PipeLimiter
+from fulmarward_router.exchange._request_state import RequestState, TruncatedResponse
 from fulmarward_router.exchange._send import AnswerLost, NotSent
-from fulmarward_router.exchange._work import TruncatedResponse, Work
 from fulmarward_router.ports import TargetCall
 
 #: Factor by which a response is assumed to be longer than the caller's hint.
@@ -38,7 +38,7 @@
         self,
         *,
         context: ServiceContext,
-        watch: FailureDetector,
+        failure_detector: FailureDetector,
         is_stopping: Callable[[], bool],
     ) -> None:
         self._context = context
@@ -48,7 +48,7 @@
         self._suspicions = context.suspicions
         self._ledger = context.ledger
         self._read_clock = context.read_clock
-        self._failure_detector = watch
+        self._failure_detector = failure_detector
         self._is_stopping = is_stopping
         self._finder = finder = PathFinder(
             instance=context.instance,
@@ -72,35 +72,35 @@
         )
         #: Monitors the open streams; its `run` is started by the daemon.
         self.supervisor = StreamSupervisor(
-            context=context, watch=watch, finder=finder, pipe=pipe
+            context=context, failure_detector=failure_detector, finder=finder, pipe=pipe
         )
 
-    async def serve(self, work: Work) -> web.StreamResponse:
+    async def serve(self, state: RequestState) -> web.StreamResponse:
         """Stream a complete response to the caller.
 
         Raises `RejectedRequest` before the response starts, `TruncatedResponse`
         afterwards.
         """
-        engine = work.configuration.services[work.service].engine
-        wanted = self._make_path_request(work, engine)
-        work.last_event = work.facts.last_event
+        engine = state.configuration.services[state.service].engine
+        wanted = self._make_path_request(state, engine)
+        state.last_event = state.facts.last_event
         answer: web.StreamResponse | None = None
         while True:
-            path = await self._admission.await_path(work, engine, wanted)
+            path = await self._admission.await_path(state, engine, wanted)
             reservation = self._ledger.reserve(path, count_tokens_held(wanted))
             attempt = Attempt(
-                work=work,
+                state=state,
                 engine=engine,
                 wanted=wanted,
                 path=path,
                 reservation=reservation,
             )
-            work.attempts += 1
-            work.targets = tuple(hop.target for hop in path)
+            state.attempts += 1
+            state.targets = tuple(hop.target for hop in path)
             log_event(
                 "path_chosen",
-                request=work.facts.request_id,
-                attempt=work.attempts,
+                request=state.facts.request_id,
+                attempt=state.attempts,
                 path=describe_path(path),
                 targets_version=self._catalogue.version,
                 targets_age_s=round(
@@ -108,10 +108,10 @@
                 ),
                 prompt=wanted.prompt,
                 answer=wanted.answer,
-                last_event=work.last_event,
+                last_event=state.last_event,
             )
             try:
-                answer = await self._run_attempt(work, attempt, answer)
+                answer = await self._run_attempt(state, attempt, answer)
                 if answer.prepared:
                     await answer.write_eof()
                 return answer
@@ -120,32 +120,34 @@
             finally:
                 # A request that waits for a retry must not hold any resources.
                 self._release(attempt)
-            work.runs += not failure.is_not_run
-            answer = work.request.get("answer")
-            self._log_failure(work, attempt, failure)
-            await self._require_retry(work, wanted, failure, answer)
+            state.runs += not failure.is_not_run
+            answer = state.request.get("answer")
+            self._log_failure(state, attempt, failure)
+            await self._require_retry(state, wanted, failure, answer)
             if not failure.is_not_run or failure.is_not_sent:
                 # A first target that was unreachable or broke off its response is
                 # likely to fail again.
                 avoided = wanted.avoided | {attempt.first.target}
                 wanted = replace(wanted, avoided=avoided)
-            if work.last_event is not None and answer is not None:
-                work.resumes += 1
+            if state.last_event is not None and answer is not None:
+                state.resumes += 1
 
-    def _make_path_request(self, work: Work, engine: EngineModel) -> PathRequest:
-        facts = work.facts
-        expected = facts.most_answer_tokens or engine.usual_answer
+    def _make_path_request(
+        self, state: RequestState, engine: EngineModel
+    ) -> PathRequest:
+        facts = state.facts
+        expected = facts.max_answer_tokens or engine.mean_answer_tokens
         if facts.hinted_answer_tokens:
             expected = min(expected, int(facts.hinted_answer_tokens * HINT_MARGIN))
         return PathRequest(
-            prompt=facts.prompt_tokens or engine.usual_prompt,
+            prompt=facts.prompt_tokens or engine.mean_prompt_tokens,
             answer=expected,
             data_centre=self._context.data_centre,
         )
 
     async def _require_retry(
         self,
-        work: Work,
+        state: RequestState,
         wanted: PathRequest,
         failure: AttemptFailed,
         answer: web.StreamResponse | None,
@@ -158,21 +160,21 @@
         if failure.has_retry:
             return
         if answer is not None:
-            until = compute_resume_end(work)
-            if await self._context.await_retry(work, until=until):
+            until = compute_resume_end(state)
+            if await self._context.await_retry(state, until=until):
                 return
             raise TruncatedResponse(cause=failure.cause)
-        if self._context.take_retry(work, part=UNSTARTED_SHARE):
+        if self._context.take_retry(state, part=UNSTARTED_SHARE):
             return
-        engine = work.configuration.services[work.service].engine
+        engine = state.configuration.services[state.service].engine
         raise self._context.make_rejection(
-            work,
+            state,
             cause=failure.cause,
-            retry_after_s=self._admission.find_retry_after_s(work, engine, wanted),
+            retry_after_s=self._admission.find_retry_after_s(state, engine, wanted),
         )
 
     async def _run_attempt(
-        self, work: Work, attempt: Attempt, answer: web.StreamResponse | None
+        self, state: RequestState, attempt: Attempt, answer: web.StreamResponse | None
     ) -> web.StreamResponse:
         """Run one attempt until the stream is complete.
 
@@ -183,10 +185,10 @@
         failure = AttemptFailed(cause="deadline", is_not_run=False)
         loop = asyncio.get_running_loop()
         attempt.deadline_timer = loop.call_later(
-            work.deadline - now, attempt.abort, failure
+            state.deadline - now, attempt.abort, failure
         )
-        call = self._make_call(work, attempt)
-        attempt.head_task = asyncio.create_task(self._client.open(work, call))
+        call = self._make_call(state, attempt)
+        attempt.head_task = asyncio.create_task(self._client.open(state, call))
         try:
             response = attempt.response = await attempt.head_task
         except asyncio.CancelledError:
@@ -203,12 +205,12 @@
         except AnswerLost as error:
             self._suspicions.record_error(attempt.first.target, now=self._read_clock())
             raise AttemptFailed(cause=repr(error), is_not_run=False) from error
-        refusal = await self._evaluate_head(work, attempt, response, answer)
+        refusal = await self._evaluate_head(state, attempt, response, answer)
         if refusal is not None:
             return refusal
         if answer is None:
-            answer = await self._begin_answer(work, response)
-        await self._relay(work, attempt, answer)
+            answer = await self._begin_answer(state, response)
+        await self._relay(state, attempt, answer)
         for hop in attempt.path:
             self._suspicions.record_success(hop.target, now=self._read_clock())
         return answer
@@ -226,20 +228,20 @@
         if attempt.response is not None:
             attempt.response.close()
 
-    def _make_call(self, work: Work, attempt: Attempt) -> TargetCall:
+    def _make_call(self, state: RequestState, attempt: Attempt) -> TargetCall:
         return TargetCall(
             target=attempt.first.target,
             address=attempt.first.address,
-            team=None if work.team is None else work.team.name,
-            deadline_s=work.deadline - self._read_clock(),
-            urgency=work.urgency,
+            team=None if state.team is None else state.team.name,
+            deadline_s=state.deadline - self._read_clock(),
+            urgency=state.urgency,
             path=attempt.path,
-            last_event=work.last_event,
+            last_event=state.last_event,
         )
 
     async def _evaluate_head(
         self,
-        work: Work,
+        state: RequestState,
         attempt: Attempt,
         response: aiohttp.ClientResponse,
         answer: web.StreamResponse | None,
@@ -251,14 +253,14 @@
             await self._record_refusal(attempt, facts.address_at_fault, response.status)
             cause = f"not run, {response.status}, {facts.address_at_fault}"
             raise AttemptFailed(cause=cause, is_not_run=True)
-        is_own = facts.request_id == work.facts.request_id and facts.is_plain
+        is_own = facts.request_id == state.facts.request_id and facts.is_plain
         if response.status == 200 and is_own and facts.is_signed:
             self._suspicions.refusals.record_accepted(
                 hop.target for hop in attempt.path
             )
             return None
         self._suspicions.record_error(attempt.first.target, now=now)
-        may_retry = may_run_again(work.make_tally(), now=now)
+        may_retry = may_run_again(state.make_tally(), now=now)
         if answer is not None or may_retry or not (is_own and facts.is_signed):
             cause = f"failed, {response.status}"
             raise AttemptFailed(cause=cause, is_not_run=False)
@@ -296,18 +298,18 @@
             await self._failure_detector.probe_and_wait(path)
 
     async def _begin_answer(
-        self, work: Work, response: aiohttp.ClientResponse
+        self, state: RequestState, response: aiohttp.ClientResponse
     ) -> web.StreamResponse:
         headers = self._dialect.select_answer_headers(response.headers)
         answer = web.StreamResponse(status=response.status, headers=headers)
         if self._is_stopping():
             answer.force_close()
-        await answer.prepare(work.request)
-        work.request["answer"] = answer
+        await answer.prepare(state.request)
+        state.request["answer"] = answer
         return answer
 
     async def _relay(
-        self, work: Work, attempt: Attempt, answer: web.StreamResponse
+        self, state: RequestState, attempt: Attempt, answer: web.StreamResponse
     ) -> None:
         """Forward complete events as they arrive, until the stream ends."""
         splitter = EventSplitter()
@@ -325,15 +327,15 @@
             if not data:
                 break
             self.supervisor.record_activity(attempt)
-            await self._forward_events(work, splitter, data, answer)
+            await self._forward_events(state, splitter, data, answer)
         if splitter.pending:
             raise AttemptFailed(cause="ended inside an event", is_not_run=False)
 
     async def _forward_events(
-        self, work: Work, splitter: EventSplitter, data: bytes, answer: object
+        self, state: RequestState, splitter: EventSplitter, data: bytes, answer: object
     ) -> None:
         chunks = []
-        last = work.last_event
+        last = state.last_event
         for event in splitter.feed(data):
             if not is_after(event.id, last):
                 continue
@@ -341,23 +343,23 @@
             last = event.id if event.id is not None else last
         if not chunks:
             return
-        work.record_write(now=self._read_clock())
+        state.record_write(now=self._read_clock())
         await answer.write(b"".join(chunks))
-        work.last_event = last
+        state.last_event = last
 
     def _record_broken_response(self, attempt: Attempt) -> None:
         """Record that the first target closed the connection during its response."""
         self._suspicions.record_error(attempt.first.target, now=self._read_clock())
 
     def _log_failure(
-        self, work: Work, attempt: Attempt, failure: AttemptFailed
+        self, state: RequestState, attempt: Attempt, failure: AttemptFailed
     ) -> None:
         log_event(
             "attempt_failed",
-            request=work.facts.request_id,
+            request=state.facts.request_id,
             target=attempt.first.target,
             outcome="not run" if failure.is_not_run else "may have run",
             cause=failure.cause,
-            attempt=work.attempts,
-            last_event=work.last_event,
+            attempt=state.attempts,
+            last_event=state.last_event,
         )
--- a/packages/router/fulmarward_router/exchange/_failover.py
+++ b/packages/router/fulmarward_router/exchange/_failover.py
@@ -63,7 +63,7 @@
         self,
         *,
         context: ServiceContext,
-        watch: FailureDetector,
+        failure_detector: FailureDetector,
         finder: PathFinder,
         pipe: PipeLimiter,
     ) -> None:
@@ -73,7 +73,7 @@
         self._suspicions = context.suspicions
         self._ledger = context.ledger
         self._read_clock = context.read_clock
-        self._failure_detector = watch
+        self._failure_detector = failure_detector
         self._finder = finder
         self._pipe = pipe
         #: Names of the leaving targets, cached for one revision of the catalogue.
@@ -115,8 +115,8 @@
             attempt.slow_signs.is_slow(
                 silent_s=now - attempt.last_activity_at,
                 has_begun=attempt.has_begun,
-                objective_s=attempt.work.route.objective_s,
-                pause_s=attempt.work.route.pause_s,
+                objective_s=attempt.state.route.objective_s,
+                pause_s=attempt.state.route.pause_s,
             )
             for attempt in self._attempts.values()
         )
@@ -316,7 +316,7 @@
             if not unreachable:
                 return
         if attempt.first in unreachable:
-            if not attempt.has_begun or attempt.work.route.is_resumable:
+            if not attempt.has_begun or attempt.state.route.is_resumable:
                 raise AttemptFailed(cause="the first target is lost", is_not_run=False)
             return
         for _ in range(MAX_REROUTES):
@@ -332,10 +332,10 @@
 
         If it `is_required`, raises `AttemptFailed` where there is no suitable path.
         """
-        work, engine, wanted = attempt.work, attempt.engine, attempt.wanted
+        state, engine, wanted = attempt.state, attempt.engine, attempt.wanted
         avoided = frozenset(hop.target for hop in avoided_hops)
         path_request = replace(wanted, first=attempt.first, avoided=avoided)
-        path = self._finder.choose(work.service, engine, path_request)
+        path = self._finder.choose(state.service, engine, path_request)
         record = self._catalogue.find_target(attempt.first.target)
         if not is_required and (
             path is None
@@ -348,7 +348,7 @@
         if (
             is_required
             and self._pipe.count_crossings(path, attempt.path)
-            and self._context.take_retry_early(work)
+            and self._context.take_retry_early(state)
         ):
             # The activations of the whole prompt would cross data centres, one after
             # another for all streams through the failed target: pauses of 0.35 to
@@ -359,15 +359,15 @@
                 is_not_run=False,
                 has_retry=True,
             )
-        result = await self._dialect.order_path(record, work.facts.request_id, path)
+        result = await self._dialect.order_path(record, state.facts.request_id, path)
         log_event(
             "path_changed",
-            request=work.facts.request_id,
+            request=state.facts.request_id,
             lost=[hop.target for hop in avoided_hops],
             path=describe_path(path),
             outcome=result.outcome.value,
             at_fault=result.address_at_fault,
-            last_event=work.last_event,
+            last_event=state.last_event,
         )
         if result.outcome is not OrderOutcome.TAKEN:
             if result.address_at_fault is not None:
@@ -379,13 +379,13 @@
                 cause = f"no other path: {result.outcome.value}"
                 raise AttemptFailed(cause=cause, is_not_run=False)
             return False
-        work.repaths += 1
+        state.repaths += 1
         reservation = self._ledger.reserve(path, count_tokens_held(wanted))
         self._ledger.release(attempt.reservation)
         attempt.reservation, attempt.path = reservation, path
         attempt.last_activity_at = self._read_clock()
         attempt.checks = 0
-        work.targets = tuple(hop.target for hop in path)
+        state.targets = tuple(hop.target for hop in path)
         return True
 
     def _record_saturated(self, path: tuple[Hop, ...], address: str) -> None:
--- a/packages/router/fulmarward_router/exchange/_failure_detector.py
+++ b/packages/router/fulmarward_router/exchange/_failure_detector.py
@@ -265,8 +265,8 @@
     async def _time_call(self, record: TargetRecord, timeout_s: float) -> float | None:
         """Return the seconds that one call took, `None` if it was not answered."""
         began_at = self._read_clock()
-        is_there = await self._dialect.is_there(record, timeout_s)
-        return self._read_clock() - began_at if is_there else None
+        is_responding = await self._dialect.is_responding(record, timeout_s)
+        return self._read_clock() - began_at if is_responding else None
 
     def _choose_controls(self, names: set[str], count: int) -> list[TargetRecord]:
         """Choose controls for a round, none of them unreachable from this instance.
@@ -324,7 +324,7 @@
         """Probe unreachable targets before their suspicion expires, until cancelled."""
         while True:
             await asyncio.sleep(RECHECK_INTERVAL_S)
-            due = self._suspicions.list_ending(
+            due = self._suspicions.list_expiring(
                 now=self._read_clock(), ahead_s=RECHECK_AHEAD_S
             )
             records = [self._catalogue.find_target(name) for name in due]
--- a/packages/router/fulmarward_router/exchange/_paces.py
+++ b/packages/router/fulmarward_router/exchange/_paces.py
@@ -19,7 +19,7 @@
 MAX_CONCURRENT = 8
 
 
-class PaceWatch:
+class PaceMonitor:
     """Polls the reports of the targets in its data centre while streams are slow.
 
     Guards against targets that are slow but still answer probes: paths would keep using
@@ -34,7 +34,7 @@
         catalogue: TargetCatalogue,
         paces: PaceTable,
         data_centre: str,
-        is_watcher: Callable[[], bool],
+        is_reader: Callable[[], bool],
         sees_slow_streams: Callable[[], bool],
         read_clock: Callable[[], float],
         note_change: Callable[[], None],
@@ -43,7 +43,7 @@
         self._catalogue = catalogue
         self._paces = paces
         self._data_centre = data_centre
-        self._is_reader = is_watcher
+        self._is_reader = is_reader
         self._sees_slow_streams = sees_slow_streams
         self._read_clock = read_clock
         self._note_change = note_change
--- a/packages/router/fulmarward_router/exchange/_path_finder.py
+++ b/packages/router/fulmarward_router/exchange/_path_finder.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from fulmarward_core.catalogue import TargetCatalogue
-from fulmarward_core.fleet import EngineModel, TargetRecord, count_kv_capacity
+from fulmarward_core.fleet import EngineModel, TargetRecord, compute_kv_capacity
 from fulmarward_core.loads import LoadLedger, TargetLoad
 from fulmarward_core.paces import PaceTable
 from fulmarward_core.paths import (
@@ -17,7 +17,7 @@
     StageIndex,
     compute_preference,
 )
-from fulmarward_core.suspicion import ROOM_SHARE, SuspicionTable
+from fulmarward_core.suspicion import LOW_OCCUPANCY_SHARE, SuspicionTable
 
 _NO_LOAD = TargetLoad()
 _IDLE = Occupancy(kv_reserved=0.0, running=0, first_running=0, pace=1.0)
@@ -67,7 +67,7 @@
         now = self._read_clock()
         targets = self._find_targets(service, engine, now)
         if self._is_large():
-            wanted = replace(wanted, far=HUB_TERMS)
+            wanted = replace(wanted, remote=HUB_TERMS)
         return targets.index.choose_path(
             wanted, read=self._make_occupancy_reader(targets, now)
         )
@@ -121,7 +121,7 @@
             data_centre=record.data_centre,
             kind=kind,
             layers=record.layers,
-            kv_capacity=float(count_kv_capacity(engine, kind, len(record.layers))),
+            kv_capacity=float(compute_kv_capacity(engine, kind, len(record.layers))),
             preference=self._find_preference(record.name),
         )
 
@@ -155,7 +155,7 @@
         excluded = targets.leaving | self._suspicions.list_suspects(
             targets.names, now=now
         )
-        if self._catalogue.may_lack_leaving(now=now):
+        if self._catalogue.may_miss_leaving(now=now):
             refusals = self._suspicions.refusals
             excluded |= {n for n in targets.names if refusals.is_refusing(n, now=now)}
         return excluded
@@ -166,9 +166,9 @@
         if record is None or record.layers is None or record.kind not in engine.kinds:
             return False
         kind = engine.kinds[record.kind]
-        capacity = count_kv_capacity(engine, kind, len(record.layers))
+        capacity = compute_kv_capacity(engine, kind, len(record.layers))
         load = self._ledger.find_load(target, now=self._read_clock())
-        return load.kv <= capacity * ROOM_SHARE
+        return load.kv <= capacity * LOW_OCCUPANCY_SHARE
 
     def has_whole_model(self, service: str, engine: EngineModel) -> bool:
         """Return whether there is a path, regardless of capacity."""
--- a/packages/router/fulmarward_router/exchange/_plain.py
+++ b/packages/router/fulmarward_router/exchange/_plain.py
@@ -10,8 +10,8 @@
 from fulmarward_core.results import ResultCode
 from fulmarward_router.exchange._context import ServiceContext
 from fulmarward_router.exchange._failure_detector import FailureDetector
+from fulmarward_router.exchange._request_state import RejectedRequest, RequestState
 from fulmarward_router.exchange._send import AnswerLost, NotSent
-from fulmarward_router.exchange._work import RejectedRequest, Work
 from fulmarward_router.ports import AnswerFacts, TargetCall
 
 #: Concurrent requests sent to a target, as a multiple of its slots. More would queue
@@ -38,9 +38,11 @@
 class PlainService:
     """Serves requests to services without engines."""
 
-    def __init__(self, *, context: ServiceContext, watch: FailureDetector) -> None:
+    def __init__(
+        self, *, context: ServiceContext, failure_detector: FailureDetector
+    ) -> None:
         self._context = context
-        self._failure_detector = watch
+        self._failure_detector = failure_detector
         self._client = context.client
         self._dialect = context.dialect
         self._catalogue = context.catalogue
@@ -48,67 +50,67 @@
         self._ledger = context.ledger
         self._read_clock = context.read_clock
 
-    async def serve(self, work: Work) -> web.StreamResponse:
+    async def serve(self, state: RequestState) -> web.StreamResponse:
         """Return a target's response; raises `RejectedRequest`."""
         tried: set[str] = set()
         last_failure: web.Response | None = None
         while True:
-            target = await self._await_target(work, tried, last_failure)
+            target = await self._await_target(state, tried, last_failure)
             if target is None:
                 return last_failure
             tried.add(target.name)
-            work.attempts += 1
-            work.targets = (target.name,)
-            self._log_choice(work, target)
+            state.attempts += 1
+            state.targets = (target.name,)
+            self._log_choice(state, target)
             reservation = self._ledger.reserve_one(target.name)
             try:
-                answer = await self._try_target(work, target)
+                answer = await self._try_target(state, target)
             finally:
                 self._ledger.release(reservation)
             if isinstance(answer, web.Response):
                 if answer.status < 500:
                     return answer
                 last_failure = answer
-            if not self._context.take_retry(work):
+            if not self._context.take_retry(state):
                 if last_failure is not None:
                     return last_failure
-                raise self._make_rejection(work, "no more attempts")
+                raise self._make_rejection(state, "no more attempts")
 
-    def _log_choice(self, work: Work, target: TargetRecord) -> None:
+    def _log_choice(self, state: RequestState, target: TargetRecord) -> None:
         now = self._read_clock()
         log_event(
             "target_chosen",
-            request=work.facts.request_id,
-            attempt=work.attempts,
+            request=state.facts.request_id,
+            attempt=state.attempts,
             target=target.name,
             targets_version=self._catalogue.version,
             targets_age_s=round(now - self._catalogue.confirmed_at, 3),
-            left_s=round(work.deadline - now, 3),
+            left_s=round(state.deadline - now, 3),
         )
 
-    def _make_rejection(self, work: Work, cause: str) -> RejectedRequest:
+    def _make_rejection(self, state: RequestState, cause: str) -> RejectedRequest:
         return self._context.make_rejection(
-            work, cause=cause, retry_after_s=SATURATED_RETRY_S
+            state, cause=cause, retry_after_s=SATURATED_RETRY_S
         )
 
     async def _await_target(
-        self, work: Work, tried: set[str], last_failure: web.Response | None
+        self, state: RequestState, tried: set[str], last_failure: web.Response | None
     ) -> TargetRecord | None:
         """Return the target to send to, waiting briefly for one with capacity.
 
         Returns `None` if there is none and a failure from an earlier attempt remains.
         """
-        timeout_s = work.route.objective_s * SATURATED_TIMEOUT_SHARE
+        timeout_s = state.route.objective_s * SATURATED_TIMEOUT_SHARE
         until = self._read_clock() + timeout_s
         while True:
             now = self._read_clock()
-            target, is_full = self._choose_target(work.service, tried, now)
+            target, is_full = self._choose_target(state.service, tried, now)
             if target is not None:
                 return target
             if last_failure is not None:
                 return None
-            if work.attempts > 0 and not is_full:
-                raise self._make_rejection(work, "no other target")
+            if state.attempts > 0 and not is_full:
+                raise self._make_rejection(state, "no other target")
             if not is_full:
                 raise RejectedRequest(
                     ResultCode.NO_TARGET,
@@ -116,8 +118,8 @@
                     retry_after_s=ABSENT_RETRY_S,
                 )
             if now >= until:
-                if work.runs > 0:
-                    raise self._make_rejection(work, "others are full")
+                if state.runs > 0:
+                    raise self._make_rejection(state, "others are full")
                 raise RejectedRequest(
                     ResultCode.QUEUE_FULL, cause="full", retry_after_s=SATURATED_RETRY_S
                 )
@@ -140,7 +142,11 @@
             load = loads.get(record.name)
             load_factor = (load.running if load else 0) / max(1, record.slots)
             is_far = record.data_centre != self._context.data_centre
-            return load_factor + REMOTE_PENALTY * is_far + 1.0 * (record.cold_s > 0)
+            return (
+                load_factor
+                + REMOTE_PENALTY * is_far
+                + 1.0 * (record.remaining_warmup_s > 0)
+            )
 
         def has_capacity(record: TargetRecord) -> bool:
             load = loads.get(record.name)
@@ -152,7 +158,7 @@
         return min(free, key=lambda record: (compute_score(record), record.name)), False
 
     async def _try_target(
-        self, work: Work, target: TargetRecord
+        self, state: RequestState, target: TargetRecord
     ) -> web.Response | None:
         """Send one attempt; return its response, or `None` if another may be tried.
 
@@ -163,40 +169,40 @@
         call = TargetCall(
             target=target.name,
             address=target.address,
-            team=None if work.team is None else work.team.name,
-            deadline_s=work.deadline - now,
+            team=None if state.team is None else state.team.name,
+            deadline_s=state.deadline - now,
             urgency=None,
         )
-        limit = work.deadline
-        if may_run_again(work.make_tally(), now=now):
+        limit = state.deadline
+        if may_run_again(state.make_tally(), now=now):
             limit = min(limit, now + ATTEMPT_TIMEOUT_S)
         response = None
         try:
             async with asyncio.timeout(max(0.0, limit - now)):
-                response = await self._client.open(work, call)
+                response = await self._client.open(state, call)
                 body = await self._client.read_body(response)
         except NotSent as error:
-            self._log_failed_attempt(work, target, "not sent", error)
+            self._log_failed_attempt(state, target, "not sent", error)
             self._failure_detector.record_connect_failure(
                 target.name, is_refused=error.is_refused, cause=repr(error)
             )
             return None
         except (AnswerLost, TimeoutError) as error:
-            work.runs += 1
-            self._log_failed_attempt(work, target, "answer lost", error)
+            state.runs += 1
+            self._log_failed_attempt(state, target, "answer lost", error)
             self._suspicions.record_error(target.name, now=self._read_clock())
-            if work.route.may_retry and self._read_clock() < work.deadline:
+            if state.route.may_retry and self._read_clock() < state.deadline:
                 return None
-            raise self._make_rejection(work, "the answer was lost") from error
+            raise self._make_rejection(state, "the answer was lost") from error
         finally:
             if response is not None:
                 response.close()
         facts = self._dialect.read_answer(response.status, response.headers)
-        return self._evaluate_response(work, target, facts, response, body)
+        return self._evaluate_response(state, target, facts, response, body)
 
     def _evaluate_response(
         self,
-        work: Work,
+        state: RequestState,
         target: TargetRecord,
         facts: AnswerFacts,
         response: object,
@@ -206,24 +212,24 @@
         now = self._read_clock()
         status = response.status
         if facts.is_not_run:
-            self._log_failed_attempt(work, target, f"not run, {status}", None)
+            self._log_failed_attempt(state, target, f"not run, {status}", None)
             if facts.is_misdirected:
                 self._suspicions.record_failure(target.name, now=now, reason="address")
             else:
                 self._suspicions.record_saturated(target.name, now=now)
             return None
-        work.runs += 1
-        is_own = facts.request_id == work.facts.request_id and facts.is_plain
+        state.runs += 1
+        is_own = facts.request_id == state.facts.request_id and facts.is_plain
         if not is_own or not facts.is_signed:
-            self._log_failed_attempt(work, target, f"not its answer, {status}", None)
+            self._log_failed_attempt(state, target, f"not its answer, {status}", None)
             self._suspicions.record_error(target.name, now=now)
-            if work.route.may_retry:
+            if state.route.may_retry:
                 return None
             raise RejectedRequest(
                 ResultCode.OUTCOME_UNKNOWN, cause="not the target's answer"
             )
         if status >= 500:
-            self._log_failed_attempt(work, target, f"failed, {status}", None)
+            self._log_failed_attempt(state, target, f"failed, {status}", None)
             self._suspicions.record_error(target.name, now=now)
         else:
             self._suspicions.record_success(target.name, now=now)
@@ -231,13 +237,17 @@
         return web.Response(status=status, body=body, headers=headers)
 
     def _log_failed_attempt(
-        self, work: Work, target: TargetRecord, outcome: str, error: Exception | None
+        self,
+        state: RequestState,
+        target: TargetRecord,
+        outcome: str,
+        error: Exception | None,
     ) -> None:
         log_event(
             "attempt_failed",
-            request=work.facts.request_id,
+            request=state.facts.request_id,
             target=target.name,
             outcome=outcome,
             cause=repr(error) if error else "",
-            attempt=work.attempts,
+            attempt=state.attempts,
         )
--- a/packages/router/fulmarward_router/exchange/_work.py
+++ b/packages/router/fulmarward_router/exchange/_request_state.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(kw_only=True)
-class Work:
+class RequestState:
     """State of a caller's request; the fields from `attempts` on are mutable."""
 
     request: web.BaseRequest
@@ -37,7 +37,7 @@
     targets: tuple[str, ...] = field(default=())
     #: When the first and the latest event were sent to the caller, in seconds on the
     #: monotonic clock; `None` before the first.
-    answered_at: float | None = None
+    first_event_at: float | None = None
     last_write_at: float | None = None
     #: Id of the latest event sent to the caller, `None` before the first.
     last_event: str | None = None
@@ -58,8 +58,8 @@
         The pause since the previous write counts as a whole, also where the stream was
         rerouted or resumed in the meantime.
         """
-        if self.answered_at is None:
-            self.answered_at = now
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
             pause_s = now - self.last_write_at
             self.longest_pause_s = max(self.longest_pause_s, pause_s)
--- a/packages/router/fulmarward_router/exchange/_send.py
+++ b/packages/router/fulmarward_router/exchange/_send.py
@@ -16,7 +16,7 @@
 from multidict import CIMultiDict
 from yarl import URL
 
-from fulmarward_router.exchange._work import Work
+from fulmarward_router.exchange._request_state import RequestState
 from fulmarward_router.ports import TargetCall, TargetDialect
 
 #: Seconds to wait for a connection to a target. The round trip is under 1 ms, but a
@@ -97,19 +97,21 @@
         self._session = session
         self._dialect = dialect
 
-    async def open(self, work: Work, call: TargetCall) -> aiohttp.ClientResponse:
+    async def open(
+        self, state: RequestState, call: TargetCall
+    ) -> aiohttp.ClientResponse:
         """Send a request and return its response once the headers have arrived.
 
         Raises `NotSent` or `AnswerLost`. Cancelling it closes the connection.
         """
-        headers = CIMultiDict(self._dialect.make_headers(work.headers, call))
-        path = work.request.raw_path
+        headers = CIMultiDict(self._dialect.make_headers(state.headers, call))
+        path = state.request.raw_path
         try:
             return await self._session.request(
-                work.request.method,
+                state.request.method,
                 URL(f"http://{call.address}{path}", encoded=True),
                 headers=headers,
-                data=work.body or None,
+                data=state.body or None,
                 skip_auto_headers=_SKIPPED_HEADERS,
                 allow_redirects=False,
             )
--- a/packages/router/fulmarward_router/exchange/tests/test_front.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_caller_handler.py
@@ -6,7 +6,7 @@
 from aiohttp.test_utils import RawTestServer
 
 from fulmarward_core.routes import CallerLimits, RoutingConfiguration
-from fulmarward_router.exchange import CallerFront
+from fulmarward_router.exchange import CallerHandler
 from fulmarward_router.ports import CallerFacts, Row
 from fulmarward_router.state import ConfigurationHolder
 
@@ -26,7 +26,7 @@
             key=None,
             last_event=None,
             prompt_tokens=0,
-            most_answer_tokens=0,
+            max_answer_tokens=0,
             hinted_answer_tokens=None,
         )
 
@@ -34,7 +34,7 @@
 class UnknownRouteTest(unittest.IsolatedAsyncioTestCase):
     async def request_status(self, configuration):
         """Return the status of a request for an unknown route."""
-        front = CallerFront(
+        front = CallerHandler(
             dialect=_Dialect(),
             configuration=configuration,
             engines=SimpleNamespace(),
@@ -42,8 +42,8 @@
             find_budget=lambda service: None,
             read_clock=time.monotonic,
             is_stopping=lambda: False,
-            takes_streams=lambda: True,
-            observe=lambda work, outcome, took_s: None,
+            accepts_streams=lambda: True,
+            observe=lambda state, outcome, took_s: None,
         )
         async with RawTestServer(front.handle) as server:
             async with aiohttp.ClientSession() as session:
@@ -54,7 +54,7 @@
         """Guards against a final 404 for a route that a newer configuration has."""
         holder = ConfigurationHolder(decode=_decode)
         row = Row(key="config", value=b"", version=7)
-        holder.take_row(row, source="store", now=time.monotonic())
+        holder.apply_row(row, source="store", now=time.monotonic())
         cases = [
             # seconds since the last confirmation, a peer's version, expected status
             (0.1, 7, 404),
@@ -67,5 +67,5 @@
                 holder.record_reported(reported)
                 self.assertEqual(await self.request_status(holder), status)
         row = Row(key="config", value=b"", version=8)
-        holder.take_row(row, source="peer", now=time.monotonic())
+        holder.apply_row(row, source="peer", now=time.monotonic())
         self.assertEqual(await self.request_status(holder), 404)
--- a/packages/router/fulmarward_router/exchange/tests/test_failover.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_failover.py
@@ -26,7 +26,7 @@
             read_clock=read_clock,
         )
         self.supervisor = StreamSupervisor(
-            context=context, watch=mock.Mock(), finder=None, pipe=None
+            context=context, failure_detector=mock.Mock(), finder=None, pipe=None
         )
         task = asyncio.create_task(self.supervisor.run())
         self.addCleanup(task.cancel)
@@ -53,7 +53,7 @@
     def setUp(self):
         self.now = 100.0
         self.suspicions = SuspicionTable()
-        self.watch = mock.Mock()
+        self.failure_detector = mock.Mock()
         context = SimpleNamespace(
             dialect=None,
             catalogue=None,
@@ -62,11 +62,14 @@
             read_clock=lambda: self.now,
         )
         self.supervisor = StreamSupervisor(
-            context=context, watch=self.watch, finder=None, pipe=None
+            context=context,
+            failure_detector=self.failure_detector,
+            finder=None,
+            pipe=None,
         )
         path = tuple(SimpleNamespace(target=name) for name in ("first", "second"))
         self.attempt = Attempt(
-            work=None, engine=None, wanted=None, path=path, reservation=None
+            state=None, engine=None, wanted=None, path=path, reservation=None
         )
         self.supervisor.add(self.attempt)
 
@@ -86,7 +89,7 @@
         self.now += 0.07
         self.assertEqual(self._list_unreachable(), [])
         self.supervisor._probe_unconfirmed(self.attempt, self.now)
-        self.watch.probe.assert_called_once_with(["first"])
+        self.failure_detector.probe.assert_called_once_with(["first"])
         self.suspicions.record_failure("first", now=self.now)
         self.assertEqual(self._list_unreachable(), ["first"], "probed, silent")
 
@@ -110,4 +113,4 @@
         self.suspicions.record_failure("second", now=99.9)
         self.assertEqual(self._list_unreachable(), ["second"])
         self.supervisor._probe_unconfirmed(self.attempt, self.now)
-        self.watch.probe.assert_not_called()
+        self.failure_detector.probe.assert_not_called()
--- a/packages/router/fulmarward_router/exchange/tests/test_failure_detector.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_failure_detector.py
@@ -51,7 +51,7 @@
             return TargetReport(layers=None, orders_accepted=0, pace=1.0)
         return None
 
-    async def is_there(self, record, timeout_s):
+    async def is_responding(self, record, timeout_s):
         return await self._answer(record, timeout_s, wait_s=0)
 
     async def _answer(self, record, timeout_s, *, wait_s):
@@ -358,7 +358,7 @@
         self._answered = set()
         self.calls = Counter()
 
-    async def is_there(self, record, timeout_s):
+    async def is_responding(self, record, timeout_s):
         self.calls[record.name] += 1
         if self._called_at is None:
             self._called_at = time.monotonic()
@@ -373,13 +373,13 @@
         reader, writer = await asyncio.open_connection(*address)
         try:
             writer.write(f"{name}\n".encode())
-            is_there = await reader.readline() == b"here\n"
+            is_responding = await reader.readline() == b"here\n"
         finally:
             writer.close()
         self._answered.add(name)
         if self._answered == set("bcd"):
             asyncio.get_running_loop().call_soon(self._pause)
-        return is_there
+        return is_responding
 
     def _pause(self):
         if not self._server.pause.is_set():
@@ -485,7 +485,7 @@
         self._is_lost = is_lost
         self.calls = Counter()
 
-    async def is_there(self, record, timeout_s):
+    async def is_responding(self, record, timeout_s):
         self.calls[record.name] += 1
         call = self.calls[record.name]
         if not self._is_lost(record.name, call):
--- a/packages/router/fulmarward_router/exchange/tests/test_work.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_request_state.py
@@ -1,7 +1,7 @@
 import unittest
 
 from fulmarward_core.routes import Route, RouteKind, RoutingConfiguration
-from fulmarward_router.exchange import Work
+from fulmarward_router.exchange import RequestState
 
 
 def _make_work():
@@ -19,7 +19,7 @@
         is_public=False,
         is_resumable=True,
     )
-    return Work(
+    return RequestState(
         request=None,
         headers={},
         body=b"",
@@ -39,8 +39,8 @@
         # Guards against a logged pause that is too short. The stream stalls for 0.2 s,
         # is rerouted around a killed target and continues 0.3 s later; if the reroute
         # restarted the measurement, only 0.3 s would be logged.
-        work = _make_work()
+        state = _make_work()
         for now in (1.0, 1.04, 1.08, 1.58, 1.62):
-            work.record_write(now=now)
-        self.assertAlmostEqual(work.longest_pause_s, 0.5)
-        self.assertEqual((work.answered_at, work.last_write_at), (1.0, 1.62))
+            state.record_write(now=now)
+        self.assertAlmostEqual(state.longest_pause_s, 0.5)
+        self.assertEqual((state.first_event_at, state.last_write_at), (1.0, 1.62))
--- a/packages/router/fulmarward_router/exchange/tests/test_send.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_send.py
@@ -61,9 +61,9 @@
 
     def open(self, body):
         request = SimpleNamespace(raw_path="/x", method="POST")
-        work = SimpleNamespace(headers={}, request=request, body=body)
+        state = SimpleNamespace(headers={}, request=request, body=body)
         call = SimpleNamespace(address=self.target.address)
-        return asyncio.create_task(self.client.open(work, call))
+        return asyncio.create_task(self.client.open(state, call))
 
     async def test_queued_request_of_an_abandoned_attempt_is_not_delivered(self):
         """Guards against a target that executes a request after its deadline."""
--- a/packages/router/fulmarward_router/mesh/_links.py
+++ b/packages/router/fulmarward_router/mesh/_links.py
@@ -10,7 +10,7 @@
 from websockets.exceptions import WebSocketException
 
 from fulmarward.observability import log_event
-from fulmarward_core.codec import MessageFault
+from fulmarward_core.codec import InvalidMessageError
 from fulmarward_router.mesh._codec import decode_message, encode_message
 from fulmarward_router.mesh._heartbeats import HeartbeatSender, PeerLink
 from fulmarward_router.mesh._members import HEARTBEAT_INTERVAL_S, MemberTable
@@ -174,7 +174,7 @@
         self._close_unwanted(now)
         hubs = self._members.list_subscriptions(now=now)
         if not hubs:
-            self._members.leave_hubs()
+            self._members.clear_reported()
         for link in self._sender.list_links():
             if link.is_dialled:
                 self._subscribe(link, hubs)
@@ -305,7 +305,7 @@
             self._count_bytes("in", len(data))
             try:
                 message = self._decode(data)
-            except MessageFault as error:
+            except InvalidMessageError as error:
                 log_event("peer_message_invalid", cause=str(error))
                 continue
             await self._handle_message(receiver, message)
@@ -332,7 +332,7 @@
         receiver.senders.add(sender.name)
         if receiver.is_accepted:
             needs_dialling = not receiver.subscribes
-            self._members.note_dialling(
+            self._members.record_needs_dialling(
                 sender.name, sender.boot, is_needed=needs_dialling
             )
         self._members.merge_heartbeat(message, now=self._read_clock())
@@ -344,7 +344,7 @@
     ) -> None:
         if receiver.link is not None:
             receiver.link.expects_load_updates = True
-        self._members.merge_fleet(message, now=self._read_clock())
+        self._members.merge_fleet_report(message, now=self._read_clock())
         if not self._state.merge_fleet_report(message) and receiver.link is not None:
             self._send_nowait(receiver.connection, receiver.link.subscription)
         await self._handle_heartbeat(receiver, message.heartbeat)
@@ -367,7 +367,9 @@
     ) -> None:
         """Start or stop sending heartbeats on an accepted link, as its peer asks."""
         receiver.subscribes = True
-        self._members.note_dialling(message.sender, message.boot, is_needed=False)
+        self._members.record_needs_dialling(
+            message.sender, message.boot, is_needed=False
+        )
         if receiver.link is not None:
             self._sender.remove(receiver.link)
             receiver.link = None
--- a/packages/router/fulmarward_router/mesh/_members.py
+++ b/packages/router/fulmarward_router/mesh/_members.py
@@ -101,9 +101,9 @@
     #: Until when each live instance counts as fresh, by name.
     fresh: Mapping[str, float]
     #: Those that may act for the fleet, in order: not leaving, and reach the store.
-    acting: tuple[str, ...]
+    duty_candidates: tuple[str, ...]
     #: Those and the new ones that were not heard yet, in order.
-    presumed: tuple[str, ...]
+    presumed_candidates: tuple[str, ...]
     #: All other instances, as input of the choice of links.
     nodes: tuple[Node, ...]
     #: Peer addresses of the hubs that this instance subscribes to, in order.
@@ -203,7 +203,7 @@
             )
         return has_unknown
 
-    def merge_fleet(self, report: FleetReport, *, now: float) -> None:
+    def merge_fleet_report(self, report: FleetReport, *, now: float) -> None:
         """Merge a hub's report on the fleet.
 
         The state of an instance that was heard on a link of its own takes precedence.
@@ -258,7 +258,7 @@
             ):
                 self._set_member(replace(reported, noted_at=member.noted_at))
 
-    def leave_hubs(self) -> None:
+    def clear_reported(self) -> None:
         """Drop what hubs reported, as this instance subscribes to none any more."""
         self._reported.clear()
 
@@ -296,7 +296,7 @@
             for centre, at in heard_at.items()
         )
 
-    def note_dialling(self, name: str, boot: int, *, is_needed: bool) -> None:
+    def record_needs_dialling(self, name: str, boot: int, *, is_needed: bool) -> None:
         """Record whether an instance only receives on links that others dial."""
         if is_needed == (self._needs_dialling.get(name) == boot):
             return
@@ -462,13 +462,15 @@
             for centre in {node.data_centre for node in nodes}
             for hub in choose_hubs([*nodes, own], centre)
         }
-        acting = {n for n in staying if self._members[n].state.is_store_reachable}
+        duty_candidates = {
+            n for n in staying if self._members[n].state.is_store_reachable
+        }
         return _View(
             since=now,
             until=min([*fresh.values(), *new.values()], default=float("inf")),
             fresh=fresh,
-            acting=tuple(sorted(acting)),
-            presumed=tuple(sorted(acting.union(new))),
+            duty_candidates=tuple(sorted(duty_candidates)),
+            presumed_candidates=tuple(sorted(duty_candidates.union(new))),
             nodes=nodes,
             hubs=frozenset(hubs),
             subscriptions=tuple(
@@ -487,13 +489,13 @@
         """Return all other instances, as input of the choice of links."""
         return self._find_view(now).nodes
 
-    def list_acting(self, *, now: float) -> tuple[str, ...]:
+    def list_duty_candidates(self, *, now: float) -> tuple[str, ...]:
         """Return the names of other instances that may act for the fleet, in order."""
-        return self._find_view(now).acting
+        return self._find_view(now).duty_candidates
 
-    def list_presumed(self, *, now: float) -> tuple[str, ...]:
+    def list_presumed_candidates(self, *, now: float) -> tuple[str, ...]:
         """Return the same names, with new instances that were not heard yet."""
-        return self._find_view(now).presumed
+        return self._find_view(now).presumed_candidates
 
     def list_links(self, *, may_be_hub: bool, now: float) -> frozenset[str]:
         """Return the peer addresses that this instance maintains links to."""
@@ -532,7 +534,7 @@
         """Return whether an instance has duties for the fleet, which hubs have."""
         return self.is_large and name in self._find_view(now).hubs
 
-    def is_first_nearby(self, *, now: float) -> bool:
+    def is_first_in_data_centre(self, *, now: float) -> bool:
         """Return whether this instance is the first by name in its data centre."""
         nodes = [*self.list_nodes(now=now), self._make_own_node(True)]
         return choose_hubs(nodes, self._own.data_centre)[0] == self._own.name
--- a/packages/router/fulmarward_router/mesh/tests/test_members.py
+++ b/packages/router/fulmarward_router/mesh/tests/test_members.py
@@ -206,7 +206,9 @@
                 expected = table._make_view(at)
                 fresh = {m.identity.name for m in table.list_fresh(now=at)}
                 self.assertEqual(fresh, set(expected.fresh))
-                self.assertEqual(table.list_acting(now=at), expected.acting)
+                self.assertEqual(
+                    table.list_duty_candidates(now=at), expected.duty_candidates
+                )
                 self.assertEqual(table.list_nodes(now=at), expected.nodes)
                 self.assertEqual(table.count_instances(now=at), 1 + len(fresh))
 
@@ -219,7 +221,7 @@
         choose = lambda: (  # noqa: E731
             self.table.list_links(may_be_hub=True, now=0.3),
             self.table.is_hub(may_be_hub=True, now=0.3),
-            self.table.list_acting(now=0.3),
+            self.table.list_duty_candidates(now=0.3),
         )
         choose()
         self.assertLess(count_calls(choose), 20)
--- a/packages/router/fulmarward_router/placement/_lease.py
+++ b/packages/router/fulmarward_router/placement/_lease.py
@@ -20,14 +20,14 @@
     ReplyLost as WriteLost,
     Step,
     StepKind,
-    StoreOut,
+    StoreUnavailable,
+    abandon_lease,
+    apply_event,
     choose_step,
-    drop_hold,
     may_order,
     may_order_in_outage,
-    note_asking,
-    take_event,
-    take_store_state,
+    record_write,
+    update_store_state,
 )
 from fulmarward_router.ports import (
     Committed,
@@ -97,7 +97,7 @@
             self._is_held_over = False
             return True
         is_out = self._is_store_out()
-        self._state = take_store_state(self._state, is_out=is_out, now=now)
+        self._state = update_store_state(self._state, is_out=is_out, now=now)
         is_held_over = is_out and may_order_in_outage(self._state)
         if is_held_over and not self._is_held_over:
             log_event("lease_held_over", fencing=self.fencing)
@@ -106,7 +106,7 @@
 
     def drop(self) -> None:
         """Stop treating this instance as the holder, and read the row again."""
-        self._state = drop_hold(self._state)
+        self._state = abandon_lease(self._state)
 
     async def run(self) -> None:
         """Keep or watch the lease until cancelled."""
@@ -134,7 +134,7 @@
             self._read() if step.kind is StepKind.READ else self._write(step)
         )
         self._take(event)
-        if isinstance(event, StoreOut | WriteLost):
+        if isinstance(event, StoreUnavailable | WriteLost):
             return OUTAGE_RETRY_DELAY_S * random.uniform(0.5, 1.5)
         return 0.0
 
@@ -148,7 +148,7 @@
 
     def _take(self, event: LeaseEvent) -> None:
         before = self._state
-        self._state = take_event(before, TERMS, event, now=self._read_clock())
+        self._state = apply_event(before, TERMS, event, now=self._read_clock())
         is_new = self._state.phase is Phase.HOLDING and (
             before.phase is Phase.WATCHING or before.fencing != self._state.fencing
         )
@@ -159,18 +159,18 @@
         try:
             read = await self._store.read_table(LEASE_TABLE)
         except (StoreRefused, ReplyLost):
-            return StoreOut()
+            return StoreUnavailable()
         return _find_lease(read.rows)
 
     async def _write(self, step: Step) -> LeaseEvent:
-        self._state = note_asking(self._state, step, now=self._read_clock())
+        self._state = record_write(self._state, step, now=self._read_clock())
         condition = RowCondition(table=LEASE_TABLE, key=LEASE_KEY, version=step.version)
         value = orjson.dumps(asdict(step.lease))
         write = RowWrite(table=LEASE_TABLE, key=LEASE_KEY, value=value)
         try:
             outcome = await self._store.transact([condition], [write])
         except StoreRefused:
-            return StoreOut()
+            return StoreUnavailable()
         except ReplyLost:
             return WriteLost()
         if isinstance(outcome, Committed):
--- a/packages/router/fulmarward_router/placement/_placer.py
+++ b/packages/router/fulmarward_router/placement/_placer.py
@@ -174,7 +174,7 @@
 
         Returns none if they exceed `MAX_UNANNOUNCED_SHARE`.
         """
-        if not self._catalogue.may_lack_leaving(now=now):
+        if not self._catalogue.may_miss_leaving(now=now):
             return frozenset()
         refusals = self._suspicions.refusals
         names = [r.name for r in present if refusals.is_refusing(r.name, now=now)]
--- a/packages/router/fulmarward_router/placement/tests/test_placer.py
+++ b/packages/router/fulmarward_router/placement/tests/test_placer.py
@@ -85,7 +85,7 @@
         self.probed = []
         self.orders = []
 
-    async def is_there(self, record, timeout_s):
+    async def is_responding(self, record, timeout_s):
         self.probed.append(record.name)
         if not self._receives_answers:
             await asyncio.sleep(timeout_s)
@@ -129,7 +129,7 @@
         self.table = SuspicionTable()
         self.dialect = _Dialect(unresponsive, receives_answers)
         catalogue = TargetCatalogue()
-        catalogue.take_all(_make_rows(fleet), 1, now=read_clock())
+        catalogue.apply_full_read(_make_rows(fleet), 1, now=read_clock())
         self.failure_detector = FailureDetector(
             dialect=self.dialect,
             catalogue=catalogue,
--- a/packages/router/fulmarward_router/ports.py
+++ b/packages/router/fulmarward_router/ports.py
@@ -108,7 +108,7 @@
     """The call was not answered; it may have been executed, or may be later."""
 
 
-class HistoryGone(Exception):
+class HistoryExpired(Exception):
     """The store no longer holds the changes since the requested version."""
 
 
@@ -141,7 +141,7 @@
         """Return all rows of a table."""
 
     async def follow_table(self, table: str, after: int, wait_s: float) -> RowsRead:
-        """Wait for changes after a version and return them; raises `HistoryGone`."""
+        """Wait for changes after a version and return them; raises `HistoryExpired`."""
 
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
@@ -172,7 +172,7 @@
     last_event: str | None
     #: Tokens of the prompt, and maximum tokens of the answer.
     prompt_tokens: int
-    most_answer_tokens: int
+    max_answer_tokens: int
     #: Caller's estimate of the tokens of the answer, or `None`.
     hinted_answer_tokens: int | None
 
@@ -289,7 +289,7 @@
     ) -> TargetReport | None:
         """Request a target's report; return `None` if it does not answer in time."""
 
-    async def is_there(self, record: TargetRecord, timeout_s: float) -> bool:
+    async def is_responding(self, record: TargetRecord, timeout_s: float) -> bool:
         """Return whether a target answers in time, even if it has no report."""
 
     async def order_layers(
--- a/packages/router/fulmarward_router/state/_configuration.py
+++ b/packages/router/fulmarward_router/state/_configuration.py
@@ -22,7 +22,7 @@
         #: Newest version that any peer has reported to be in force.
         self._reported_version = 0
         #: Set once a configuration is in force.
-        self.known = asyncio.Event()
+        self.available = asyncio.Event()
 
     @property
     def version(self) -> int:
@@ -47,7 +47,7 @@
         """The row of the configuration in force, as it is sent to peers."""
         return self._row
 
-    def take_row(self, row: Row, *, source: str, now: float) -> bool:
+    def apply_row(self, row: Row, *, source: str, now: float) -> bool:
         """Adopt the configuration in `row` if it is newer; return whether it was.
 
         A row that cannot be decoded is refused, and the current configuration stays in
@@ -78,5 +78,5 @@
             size=len(row.value or b""),
             routes=sum(len(routes) for routes in configuration.routes.values()),
         )
-        self.known.set()
+        self.available.set()
         return True
--- a/packages/router/fulmarward_router/state/_configuration_exchange.py
+++ b/packages/router/fulmarward_router/state/_configuration_exchange.py
@@ -76,10 +76,10 @@
         """Return whether a fetch of the sender's newer version was started."""
         peer, own = heartbeat.sender.name, self._configuration.version
         _log_fetch_timeout(
-            self._pending_fetch.give_up(known=own, now=now),
+            self._pending_fetch.check_timeout(known=own, now=now),
             cause="no newer version received",
         )
-        if not self._pending_fetch.ask(peer, known=own, now=now):
+        if not self._pending_fetch.try_start(peer, known=own, now=now):
             return False
         log_event(
             "configuration_requested",
@@ -195,7 +195,7 @@
         self._merge(Row(key=snapshot.key, value=value, version=snapshot.version))
 
     def _merge(self, row: Row) -> None:
-        if self._configuration.take_row(row, source="peer", now=self._read_clock()):
+        if self._configuration.apply_row(row, source="peer", now=self._read_clock()):
             self._note_change()
 
 
--- a/packages/router/fulmarward_router/state/_knowledge.py
+++ b/packages/router/fulmarward_router/state/_instance_state.py
@@ -7,7 +7,7 @@
 
 from fulmarward.observability import log_event
 from fulmarward_core.catalogue import KnownRow, TargetCatalogue
-from fulmarward_core.loads import HubLoads, Load, LoadLedger
+from fulmarward_core.loads import HubReport, Load, LoadLedger
 from fulmarward_core.paces import PaceTable
 from fulmarward_core.suspicion import SuspicionTable
 from fulmarward_router.mesh import (
@@ -52,7 +52,7 @@
 _NEVER_MS = -1
 
 
-class Knowledge:
+class InstanceState:
     """Implements `mesh.MeshState` on the tables of this instance."""
 
     def __init__(
@@ -120,12 +120,12 @@
             is_leaving=self._is_leaving(),
             configuration_version=self._configuration.version,
             configuration_age_ms=_compute_age_ms(self._configuration.confirmed_at, now),
-            targets_version=self._catalogue.stated_version,
+            targets_version=self._catalogue.content_version,
             targets_age_ms=_compute_age_ms(self._catalogue.confirmed_at, now),
             is_store_reachable=self._is_store_reachable(),
             loads=loads,
             losses=losses,
-            refusing=tuple(self._suspicions.refusals.list_own(now=now)),
+            refusing=tuple(self._suspicions.refusals.list_observed(now=now)),
             sees_slow_streams=self._sees_slow_streams(),
             paces=self._make_pace_reports(now),
         )
@@ -164,9 +164,9 @@
         now = self._read_clock()
         is_starting = now - self._started_at < START_DURATION_S
         others = (
-            self._members.list_presumed(now=now)
+            self._members.list_presumed_candidates(now=now)
             if is_starting
-            else self._members.list_acting(now=now)
+            else self._members.list_duty_candidates(now=now)
         )
         before = bisect.bisect_left(others, self._own.name)
         return before < count
@@ -232,10 +232,10 @@
         """Return this instance's report, as a hub, on a data centre."""
         now = self._read_clock()
         instances = self._members.report_members(data_centre, now=now)
-        loads = self._ledger.find_centre_load(data_centre)
+        loads = self._ledger.find_data_centre_load(data_centre)
         if data_centre == self._own.data_centre:
             instances = (*instances, self._make_own_report())
-            loads = self._ledger.sum_nearby(now=now)
+            loads = self._ledger.sum_linked(now=now)
         return DataCentreReport(
             data_centre=data_centre,
             instances=instances,
@@ -260,7 +260,7 @@
             return
         now = self._read_clock()
         loads = _index_loads(report.loads)
-        self._ledger.merge_centre(report.data_centre, loads, now=now)
+        self._ledger.merge_data_centre(report.data_centre, loads, now=now)
         self._merge_paces(report.paces, now)
 
     def has_loads(self) -> bool:
@@ -303,13 +303,13 @@
         is_full: bool,
     ) -> bool:
         own = [item for item in included if item.instance == self._own.name]
-        report = HubLoads(
+        report = HubReport(
             hub=hub,
             is_full=is_full,
             loads=_index_loads(loads),
             included=own[0].sequence if own else None,
         )
-        return self._ledger.merge_fleet(report, now=self._read_clock())
+        return self._ledger.merge_hub_report(report, now=self._read_clock())
 
     def _list_included(self) -> tuple[IncludedUpdate, ...]:
         return tuple(
@@ -361,14 +361,14 @@
         now_reported = Revisions(
             members=self._members.revision,
             loads=self._ledger.revision,
-            targets=self._catalogue.stated_version,
+            targets=self._catalogue.content_version,
         )
         return report, now_reported
 
     def make_target_changes(self, after: int) -> TargetChanges | None:
         """Return the changes of targets after a version, `None` if none are known."""
         is_known = self._catalogue.knows_changes(after=after)
-        if not is_known or self._catalogue.stated_version <= after:
+        if not is_known or self._catalogue.content_version <= after:
             return None
         return self._build_target_changes(after)
 
@@ -449,7 +449,7 @@
         version = snapshot.version if is_contiguous else 0
         at = now - snapshot.age_ms / 1000
         self._note_targets(
-            self._catalogue.take_changes(rows, version, now=now, confirmed_at=at)
+            self._catalogue.apply_changes(rows, version, now=now, confirmed_at=at)
         )
 
 
--- a/packages/router/fulmarward_router/state/_target_news.py
+++ b/packages/router/fulmarward_router/state/_target_changes.py
@@ -7,7 +7,7 @@
 from fulmarward_core.suspicion import SuspicionTable
 
 
-class TargetNews:
+class TargetChangeHandler:
     """Logs changes of targets and clears the suspicion of a restarted one."""
 
     def __init__(
@@ -20,7 +20,7 @@
         self._started_ms: dict[str, int] = {}
         self._leaving: set[str] = set()
 
-    def note(self, rows: list[KnownRow]) -> None:
+    def handle_changes(self, rows: list[KnownRow]) -> None:
         """Handle rows that have changed."""
         if any(row.record is None or row.record.is_leaving for row in rows):
             # Peers must stop sending requests there too.
--- a/packages/router/fulmarward_router/state/_watch.py
+++ b/packages/router/fulmarward_router/state/_watch.py
@@ -11,7 +11,7 @@
     find_confirmed_at,
 )
 from fulmarward_router.ports import (
-    HistoryGone,
+    HistoryExpired,
     ReplyLost,
     Row,
     RowsRead,
@@ -85,7 +85,7 @@
         self._read_heartbeat_interval_s = read_heartbeat_interval_s
         self._has_outage: dict[str, bool] = {}
         #: Since when the store has been unreachable, `None` while it answers.
-        self.out_since: float | None = None
+        self.unreachable_since: float | None = None
 
     async def follow_configuration(self) -> None:
         """Keep the configuration up to date with the store, until cancelled."""
@@ -105,7 +105,7 @@
                 else:
                     wait_s = RECHECK_WAIT_S if has_changes else CONFIGURATION_WAIT_S
                     read = await self._store.follow_table(table, version, wait_s)
-            except HistoryGone:
+            except HistoryExpired:
                 log_event("history_gone", table=table, version=version)
                 version = None
                 continue
@@ -130,7 +130,7 @@
         now = self._read_clock()
         self._configuration.record_confirmation(at=confirmed_at)
         adopted = [
-            self._configuration.take_row(row, source="store", now=now)
+            self._configuration.apply_row(row, source="store", now=now)
             for row in read.rows
         ]
         if any(adopted):
@@ -150,7 +150,7 @@
                 else:
                     await self._read_all()
                 is_complete = True
-            except HistoryGone:
+            except HistoryExpired:
                 log_event(
                     "history_gone",
                     table=self._store.targets_table,
@@ -189,7 +189,7 @@
         read = await self._store.read_table(self._store.targets_table)
         now = self._read_clock()
         rows = [self.decode_row(row, now=now) for row in read.rows]
-        self._catalogue.take_all(rows, read.version, now=now)
+        self._catalogue.apply_full_read(rows, read.version, now=now)
         log_event("targets_read", rows=len(rows), store_version=read.version)
         self._note_targets(rows)
 
@@ -199,7 +199,7 @@
         )
         now = self._read_clock()
         rows = [self.decode_row(row, now=now) for row in read.rows]
-        self._note_targets(self._catalogue.take_changes(rows, read.version, now=now))
+        self._note_targets(self._catalogue.apply_changes(rows, read.version, now=now))
 
     def decode_row(self, row: Row, *, now: float) -> KnownRow:
         """Return a row of the targets' table in the form that the catalogue stores."""
@@ -216,12 +216,12 @@
         if not self._has_outage.get(table):
             log_event("store_lost", table=table, cause=repr(error))
         self._has_outage[table] = True
-        if self.out_since is None:
-            self.out_since = now
+        if self.unreachable_since is None:
+            self.unreachable_since = now
 
     def _record_success(self, table: str) -> None:
         if self._has_outage.get(table):
             log_event("store_regained", table=table)
         self._has_outage[table] = False
         if not any(self._has_outage.values()):
-            self.out_since = None
+            self.unreachable_since = None
--- a/packages/router/fulmarward_router/tests/test_configuration_spread.py
+++ b/packages/router/fulmarward_router/tests/test_configuration_spread.py
@@ -14,7 +14,7 @@
     encode_message,
 )
 from fulmarward_router.ports import Row
-from fulmarward_router.tests.test_knowledge import Peer
+from fulmarward_router.tests.test_instance_state import Peer
 
 #: Bandwidth of a small instance's link in bytes per second: 20 Mbit/s.
 _LINK_BYTES_PER_S = 2_500_000
@@ -148,7 +148,7 @@
 
     def _merge_store_row(self, one, row):
         peer = self._advance_peer(one)
-        peer.configuration.take_row(row, source="store", now=self.now)
+        peer.configuration.apply_row(row, source="store", now=self.now)
         self._record_in_force(one)
 
     def _advance_peer(self, one):
@@ -169,7 +169,7 @@
         )
 
     def _send_heartbeats(self, one):
-        heartbeat = self._advance_peer(one).knowledge.make_heartbeat()
+        heartbeat = self._advance_peer(one).instance_state.make_heartbeat()
         size = len(encode_message(heartbeat))
         for other in self._links[one]:
             self._send_bytes(one, other, heartbeat, size)
@@ -205,23 +205,23 @@
     def _handle(self, one, other, message):
         peer = self._advance_peer(other)
         if isinstance(message, Heartbeat):
-            for fetch in peer.knowledge.merge_heartbeat(message):
+            for fetch in peer.instance_state.merge_heartbeat(message):
                 self._send(other, one, fetch)
         elif isinstance(message, FetchCompressedConfiguration | FetchTargets):
-            answer = peer.knowledge.answer(message)
+            answer = peer.instance_state.answer(message)
             if answer is not None:
                 self._send(other, one, answer)
         elif isinstance(message, CompressedConfiguration):
             name = f"i{other:03}"
             self._send(other, one, ConfigurationReceived(sender=name))
-            peer.knowledge.merge_snapshot(message)
+            peer.instance_state.merge_snapshot(message)
             self._record_in_force(other)
         elif isinstance(message, TargetChanges):
-            peer.knowledge.merge_snapshot(message)
+            peer.instance_state.merge_snapshot(message)
         elif isinstance(message, ConfigurationDeferred):
-            peer.knowledge.note_deferred(message)
+            peer.instance_state.note_deferred(message)
         elif isinstance(message, ConfigurationReceived):
-            peer.knowledge.note_received(message)
+            peer.instance_state.note_received(message)
 
 
 class ConfigurationSpreadTest(unittest.TestCase):
--- a/packages/router/fulmarward_router/tests/test_knowledge.py
+++ b/packages/router/fulmarward_router/tests/test_instance_state.py
@@ -19,7 +19,7 @@
 )
 from fulmarward_router.mesh.tests.test_members import make_heartbeat
 from fulmarward_router.ports import Row
-from fulmarward_router.state import ConfigurationHolder, Knowledge
+from fulmarward_router.state import ConfigurationHolder, InstanceState
 
 
 class _Configuration:
@@ -45,7 +45,7 @@
         self.suspicions = SuspicionTable()
         self.paces = PaceTable()
         self.ledger = LoadLedger()
-        self.knowledge = Knowledge(
+        self.instance_state = InstanceState(
             own=InstanceIdentity(
                 name=name,
                 boot=1,
@@ -82,22 +82,22 @@
 
     def record_compression_support(self, other):
         """Receive the `SupportsCompression` that another sends when it dials a link."""
-        sender = other.knowledge.make_heartbeat().sender
+        sender = other.instance_state.make_heartbeat().sender
         message = SupportsCompression(sender=sender.name, boot=sender.boot)
-        self.knowledge.note_supports_compression(message)
+        self.instance_state.note_supports_compression(message)
 
     def receive_heartbeat(self, other):
         """Merge a heartbeat of another and its answers to the fetches; return these."""
         self.record_compression_support(other)
-        heartbeat = other.knowledge.make_heartbeat()
+        heartbeat = other.instance_state.make_heartbeat()
         self.members.merge_heartbeat(heartbeat, now=self.now)
-        fetches = self.knowledge.merge_heartbeat(heartbeat)
+        fetches = self.instance_state.merge_heartbeat(heartbeat)
         for fetch in fetches:
-            answer = other.knowledge.answer(fetch)
+            answer = other.instance_state.answer(fetch)
             if isinstance(answer, ConfigurationDeferred):
-                self.knowledge.note_deferred(answer)
+                self.instance_state.note_deferred(answer)
             elif answer is not None:
-                self.knowledge.merge_snapshot(answer)
+                self.instance_state.merge_snapshot(answer)
         return fetches
 
 
@@ -105,16 +105,16 @@
     return Row(key="config", value=value, version=version)
 
 
-class KnowledgeTest(unittest.TestCase):
+class InstanceStateTest(unittest.TestCase):
     def setUp(self):
         self.one, self.two = Peer("one"), Peer("two")
 
     def test_instance_refused_by_the_store_gets_changes_from_a_peer(self):
         # The store serves one instance and refuses the other. Both must learn of a
         # revoked key, or of a leaving target, within the time limit.
-        self.one.configuration.take_row(_make_row(4, b"7"), source="store", now=100.0)
+        self.one.configuration.apply_row(_make_row(4, b"7"), source="store", now=100.0)
         row = KnownRow(name="t", version=5, value=b"x", record=None, heard_at=100.0)
-        self.one.catalogue.take_all([row], 5, now=100.0)
+        self.one.catalogue.apply_full_read([row], 5, now=100.0)
         self.two.receive_heartbeat(self.one)
         self.assertEqual(self.two.configuration.version, 7)
         self.assertEqual(self.two.catalogue.version, 5)
@@ -127,11 +127,11 @@
             for at in (5, 7, 9)
         ]
         for peer in (self.one, behind, ahead):
-            peer.catalogue.take_all(rows[:1], 5, now=100.0)
-        ahead.catalogue.take_changes(rows[1:2], 7, now=100.0)
+            peer.catalogue.apply_full_read(rows[:1], 5, now=100.0)
+        ahead.catalogue.apply_changes(rows[1:2], 7, now=100.0)
         self.one.receive_heartbeat(ahead)
         # The next change follows too soon for another fetch.
-        ahead.catalogue.take_changes(rows[2:], 9, now=100.0)
+        ahead.catalogue.apply_changes(rows[2:], 9, now=100.0)
         self.one.now += 0.05
         self.one.receive_heartbeat(ahead)
         for _ in range(4):
@@ -148,10 +148,10 @@
             KnownRow(name="t", version=at, value=b"x", record=None, heard_at=100.0)
             for at in (5, 7, 9)
         ]
-        self.one.catalogue.take_all(rows[:1], 5, now=100.0)
-        behind.catalogue.take_all(rows[:1], 5, now=100.0)
-        behind.catalogue.take_changes(rows[1:2], 7, now=100.0)
-        restarted.catalogue.take_all(rows[2:], 9, now=100.0)
+        self.one.catalogue.apply_full_read(rows[:1], 5, now=100.0)
+        behind.catalogue.apply_full_read(rows[:1], 5, now=100.0)
+        behind.catalogue.apply_changes(rows[1:2], 7, now=100.0)
+        restarted.catalogue.apply_full_read(rows[2:], 9, now=100.0)
         for _ in range(3):
             self.one.receive_heartbeat(restarted)
             self.one.now += 0.3
@@ -165,13 +165,13 @@
         # two seconds; probes of targets timed out, and these were taken for lost.
         peers = [Peer(f"peer{number}") for number in range(76)]
         for peer in peers:
-            peer.configuration.take_row(_make_row(4, b"7"), source="x", now=100.0)
+            peer.configuration.apply_row(_make_row(4, b"7"), source="x", now=100.0)
             self.one.record_compression_support(peer)
-        heartbeats = [peer.knowledge.make_heartbeat() for peer in peers]
+        heartbeats = [peer.instance_state.make_heartbeat() for peer in peers]
         fetches = [
             fetch
             for heartbeat in heartbeats
-            for fetch in self.one.knowledge.merge_heartbeat(heartbeat)
+            for fetch in self.one.instance_state.merge_heartbeat(heartbeat)
         ]
         expected = [FetchCompressedConfiguration(sender="one", version=0)]
         self.assertEqual(fetches, expected)
@@ -179,14 +179,14 @@
         again = [
             fetch
             for heartbeat in heartbeats
-            for fetch in self.one.knowledge.merge_heartbeat(heartbeat)
+            for fetch in self.one.instance_state.merge_heartbeat(heartbeat)
         ]
         self.assertEqual(again, [])
         self.one.now += FETCH_TIMEOUT_S
         again = [
             fetch
             for heartbeat in heartbeats
-            for fetch in self.one.knowledge.merge_heartbeat(heartbeat)
+            for fetch in self.one.instance_state.merge_heartbeat(heartbeat)
         ]
         self.assertEqual(again, expected)
 
@@ -197,8 +197,10 @@
         two, three = Peer("two"), Peer("three")
         for peer in (two, three):
             row = _make_row(4, b"7" + blanks)
-            peer.configuration.take_row(row, source="x", now=100.0)
-        two.knowledge.answer(FetchCompressedConfiguration(sender="four", version=0))
+            peer.configuration.apply_row(row, source="x", now=100.0)
+        two.instance_state.answer(
+            FetchCompressedConfiguration(sender="four", version=0)
+        )
         self.assertEqual(len(self.one.receive_heartbeat(two)), 1)
         self.assertEqual(self.one.configuration.version, 0)
         self.assertEqual(self.one.receive_heartbeat(two), [])
@@ -210,34 +212,34 @@
         heartbeats = []
         for name in ("two", "three"):
             peer = Peer(name)
-            peer.configuration.take_row(_make_row(4, b"7"), source="x", now=100.0)
-            heartbeats.append(peer.knowledge.make_heartbeat())
-        merge_heartbeat = self.one.knowledge.merge_heartbeat
+            peer.configuration.apply_row(_make_row(4, b"7"), source="x", now=100.0)
+            heartbeats.append(peer.instance_state.make_heartbeat())
+        merge_heartbeat = self.one.instance_state.merge_heartbeat
         self.assertEqual(
             [len(merge_heartbeat(heartbeat)) for heartbeat in heartbeats], [1, 0]
         )
-        self.one.knowledge.note_link_lost("three")
+        self.one.instance_state.note_link_lost("three")
         self.assertEqual(merge_heartbeat(heartbeats[1]), [])
-        self.one.knowledge.note_link_lost("two")
+        self.one.instance_state.note_link_lost("two")
         self.assertEqual(len(merge_heartbeat(heartbeats[1])), 1)
 
     def test_damaged_configuration_changes_nothing(self):
-        self.one.configuration.take_row(_make_row(4, b"7"), source="store", now=100.0)
+        self.one.configuration.apply_row(_make_row(4, b"7"), source="store", now=100.0)
         for packed in (b"", b"8", pack_value(b"8")[:-1], pack_value(b"no version")):
             with self.subTest(packed):
                 snapshot = CompressedConfiguration(
                     key="config", version=9, packed=packed
                 )
-                self.one.knowledge.merge_snapshot(snapshot)
+                self.one.instance_state.merge_snapshot(snapshot)
                 self.assertEqual(self.one.configuration.version, 7)
                 self.assertEqual(self.one.configuration.row.value, b"7")
 
     def test_older_configuration_changes_nothing(self):
-        self.one.configuration.take_row(_make_row(4, b"7"), source="store", now=100.0)
-        self.two.configuration.take_row(_make_row(9, b"8"), source="store", now=100.0)
+        self.one.configuration.apply_row(_make_row(4, b"7"), source="store", now=100.0)
+        self.two.configuration.apply_row(_make_row(9, b"8"), source="store", now=100.0)
         self.assertEqual(self.two.receive_heartbeat(self.one), [])
-        self.two.knowledge.merge_snapshot(
-            self.one.knowledge.answer(
+        self.two.instance_state.merge_snapshot(
+            self.one.instance_state.answer(
                 FetchCompressedConfiguration(sender="two", version=0)
             )
         )
@@ -247,12 +249,12 @@
         # The answer to an older fetch is late. The changes before it are missing, so
         # the instance must not assume that it has everything up to its version.
         changes = TargetChanges(after=50, version=60, age_ms=0, rows=())
-        self.two.knowledge.merge_snapshot(changes)
+        self.two.instance_state.merge_snapshot(changes)
         self.assertEqual(self.two.catalogue.version, 0)
 
     def test_confirmation_is_passed_on_with_its_age(self):
         for peer in (self.one, self.two):
-            peer.configuration.take_row(_make_row(4, b"7"), source="x", now=100.0)
+            peer.configuration.apply_row(_make_row(4, b"7"), source="x", now=100.0)
         self.one.configuration.confirmed_at = 99.0
         self.two.receive_heartbeat(self.one)
         self.assertAlmostEqual(self.two.configuration.confirmed_at, 99.0, places=2)
@@ -262,7 +264,7 @@
         self.two.receive_heartbeat(self.one)
         self.assertTrue(self.two.suspicions.is_indirect("t", now=100.1))
         self.assertTrue(self.two.suspicions.is_suspect("t", now=100.1))
-        self.assertEqual(self.two.knowledge.make_heartbeat().losses, ())
+        self.assertEqual(self.two.instance_state.make_heartbeat().losses, ())
 
     def test_slow_target_is_reported_with_the_age_of_its_pace(self):
         self.one.paces.note("t", 12.0, at=99.0)
@@ -285,7 +287,9 @@
                     setattr(one, name, value)
                 one.receive_heartbeat(two)
                 two.receive_heartbeat(one)
-                found = tuple(peer.knowledge.is_among_first(1) for peer in (one, two))
+                found = tuple(
+                    peer.instance_state.is_among_first(1) for peer in (one, two)
+                )
                 self.assertEqual(found, expected)
 
     def test_store_is_out_if_no_fresh_instance_reaches_it_and_most_are_fresh(self):
@@ -306,7 +310,7 @@
                 one.receive_heartbeat(three)
                 if not is_heard:
                     one.now += 10.0
-                self.assertEqual(one.knowledge.is_store_out(), expected)
+                self.assertEqual(one.instance_state.is_store_out(), expected)
 
     def test_rewritten_rows_of_targets_cause_no_fetch(self):
         """Guards against a fetch for each heartbeat that targets write to the store."""
@@ -314,7 +318,7 @@
         for step in range(1, 40):
             now = self.one.now = self.two.now = 100.0 + step * 0.1
             row = self._make_row(5 + step)
-            self.one.catalogue.take_changes([row], 5 + step, now=now)
+            self.one.catalogue.apply_changes([row], 5 + step, now=now)
             self.assertEqual(self.two.receive_heartbeat(self.one), [])
             self.assertAlmostEqual(self.two.catalogue.confirmed_at, now, places=2)
 
@@ -323,7 +327,7 @@
         self._add_shared_target()
         self.one.now = self.two.now = 101.0
         leaving = self._make_row(9, b"leaving")
-        self.one.catalogue.take_changes([leaving], 12, now=101.0)
+        self.one.catalogue.apply_changes([leaving], 12, now=101.0)
         self.assertEqual(self.two.receive_heartbeat(self.one), [FetchTargets(after=5)])
         self.assertEqual(self.two.catalogue.version, 12)
         known = {row.name: row.value for row in self.two.catalogue.list_rows(after=0)}
@@ -334,10 +338,10 @@
         self._add_shared_target()
         three, row = Peer("three"), self._make_row(8)
         self.two.now = 100.3
-        three.catalogue.take_all([row], 9, now=100.0)
+        three.catalogue.apply_full_read([row], 9, now=100.0)
         self.assertEqual(self.two.receive_heartbeat(three), [FetchTargets(after=5)])
         self.assertEqual(self.two.catalogue.version, 5)
-        self.one.catalogue.take_changes([row], 9, now=100.0)
+        self.one.catalogue.apply_changes([row], 9, now=100.0)
         self.one.now = self.two.now = 100.5
         self.assertEqual(self.two.receive_heartbeat(self.one), [FetchTargets(after=5)])
         for peer in (three, self.one):
@@ -351,7 +355,7 @@
 
     def _add_shared_target(self):
         """Add a target at the first instance and let the second one fetch it."""
-        self.one.catalogue.take_all([self._make_row(5)], 5, now=100.0)
+        self.one.catalogue.apply_full_read([self._make_row(5)], 5, now=100.0)
         self.two.receive_heartbeat(self.one)
         self.assertEqual(self.two.catalogue.version, 5)
 
@@ -362,14 +366,14 @@
         # newer version and sent requests to the target for two more seconds.
         target = KnownRow(name="t", version=5, value=b"x", record=None, heard_at=90.0)
         other = KnownRow(name="u", version=6, value=b"x", record=None, heard_at=90.0)
-        self.one.catalogue.take_all([target, other], 6, now=99.0)
-        self.two.catalogue.take_all([other], 9, now=100.0)
+        self.one.catalogue.apply_full_read([target, other], 6, now=99.0)
+        self.two.catalogue.apply_full_read([other], 9, now=100.0)
         self.one.receive_heartbeat(self.two)
         self.assertEqual(self.one.catalogue.version, 6)
         three = Peer("three")
-        three.catalogue.take_all([target, other], 6, now=99.0)
+        three.catalogue.apply_full_read([target, other], 6, now=99.0)
         gone = KnownRow(name="t", version=8, value=None, record=None, heard_at=100.0)
-        three.catalogue.take_changes([gone], 9, now=100.0)
+        three.catalogue.apply_changes([gone], 9, now=100.0)
         self.one.now = 100.5
         self.one.receive_heartbeat(three)
         self.assertEqual(self.one.catalogue.version, 9)
@@ -378,13 +382,13 @@
 
     def test_instance_without_targets_gets_all_from_a_restarted_one(self):
         row = KnownRow(name="u", version=6, value=b"x", record=None, heard_at=90.0)
-        self.two.catalogue.take_all([row], 9, now=100.0)
+        self.two.catalogue.apply_full_read([row], 9, now=100.0)
         self.one.receive_heartbeat(self.two)
         self.assertEqual(self.one.catalogue.version, 9)
 
     def test_fetch_without_a_newer_version_has_no_answer(self):
         fetch = FetchCompressedConfiguration(sender="two", version=3)
-        self.assertIsNone(self.one.knowledge.answer(fetch))
-        answer = self.one.knowledge.answer(FetchTargets(after=0))
+        self.assertIsNone(self.one.instance_state.answer(fetch))
+        answer = self.one.instance_state.answer(FetchTargets(after=0))
         self.assertEqual(answer.rows, ())
         self.assertEqual(make_heartbeat().is_store_reachable, True)
--- a/packages/router/fulmarward_router/tests/test_subscriptions.py
+++ b/packages/router/fulmarward_router/tests/test_subscriptions.py
@@ -13,7 +13,7 @@
     decode_message,
     encode_message,
 )
-from fulmarward_router.tests.test_knowledge import Peer
+from fulmarward_router.tests.test_instance_state import Peer
 
 _STEP_S = 0.4
 
@@ -79,16 +79,18 @@
             revisions = self.revisions.get(name)
             if hub in self.dead or revisions is None:
                 continue
-            result = self.peers[hub].knowledge.make_fleet_loads(revisions.loads)
+            result = self.peers[hub].instance_state.make_fleet_loads(revisions.loads)
             report, revision = result
             self.revisions[name] = replace(revisions, loads=revision)
-            knowledge = self.peers[name].knowledge
-            if report and not knowledge.merge_fleet_loads(_encode_and_decode(report)):
+            instance_state = self.peers[name].instance_state
+            if report and not instance_state.merge_fleet_loads(
+                _encode_and_decode(report)
+            ):
                 del self.revisions[name]
 
     def _send_update(self, peer, hub):
-        hub.knowledge.merge_load_update(
-            _encode_and_decode(peer.knowledge.make_load_update())
+        hub.instance_state.merge_load_update(
+            _encode_and_decode(peer.instance_state.make_load_update())
         )
 
     def _report(self, name, hub):
@@ -101,27 +103,29 @@
 
     def _send_heartbeat(self, peer, other, *, has_loads):
         heartbeat = _encode_and_decode(
-            peer.knowledge.make_heartbeat(has_loads=has_loads)
+            peer.instance_state.make_heartbeat(has_loads=has_loads)
         )
         other.members.merge_heartbeat(heartbeat, now=other.now)
-        other.knowledge.merge_heartbeat(heartbeat)
+        other.instance_state.merge_heartbeat(heartbeat)
 
     def _send_fleet_report(self, hub, name):
         revisions = self.revisions.get(name, Revisions())
         changes = None
         if revisions.targets >= 0:
-            changes = self.peers[hub].knowledge.make_target_changes(revisions.targets)
+            changes = self.peers[hub].instance_state.make_target_changes(
+                revisions.targets
+            )
         if changes is not None:
-            self.peers[name].knowledge.merge_snapshot(_encode_and_decode(changes))
-        report, self.revisions[name] = self.peers[hub].knowledge.make_fleet_report(
+            self.peers[name].instance_state.merge_snapshot(_encode_and_decode(changes))
+        report, self.revisions[name] = self.peers[hub].instance_state.make_fleet_report(
             revisions
         )
         report, peer = _encode_and_decode(report), self.peers[name]
-        peer.members.merge_fleet(report, now=peer.now)
-        if not peer.knowledge.merge_fleet_report(report):
+        peer.members.merge_fleet_report(report, now=peer.now)
+        if not peer.instance_state.merge_fleet_report(report):
             del self.revisions[name]
         peer.members.merge_heartbeat(report.heartbeat, now=peer.now)
-        self.fetches += peer.knowledge.merge_heartbeat(report.heartbeat)
+        self.fetches += peer.instance_state.merge_heartbeat(report.heartbeat)
 
     def count_loads(self):
         running = {}
@@ -243,10 +247,10 @@
             for at in (5, 7)
         ]
         for peer in centre.peers.values():
-            peer.catalogue.take_all(rows[:1], 5, now=peer.now)
+            peer.catalogue.apply_full_read(rows[:1], 5, now=peer.now)
         centre.run_round()
         hub = centre.peers["h0"]
-        hub.catalogue.take_changes(rows[1:], 7, now=hub.now)
+        hub.catalogue.apply_changes(rows[1:], 7, now=hub.now)
         centre.run_round()
         versions = {centre.peers[name].catalogue.version for name in _MEMBERS}
         self.assertEqual((versions, centre.fetches), ({7}, []))
@@ -256,7 +260,7 @@
         centre = _Centre()
         for _ in range(3):
             centre.run_round()
-        hub = centre.peers["h0"].knowledge
+        hub = centre.peers["h0"].instance_state
         full, revisions = hub.make_fleet_report(Revisions())
         later, _ = hub.make_fleet_report(revisions)
         self.assertEqual(len(full.members), len(_MEMBERS) + 1)
--- a/packages/standins/fulmarward_standins/bench/_control_tables.py
+++ b/packages/standins/fulmarward_standins/bench/_control_tables.py
@@ -12,9 +12,9 @@
     MemberTable,
     choose_heartbeat,
     combine_digests,
+    dequeue_rumours,
     merge_member,
     select_neighbours,
-    take_rumours,
 )
 
 #: Members, data centres, and member changes per day: 690 replaced, 34 failed.
@@ -52,7 +52,7 @@
         table = MemberTable(own_name=own.name)
         for member in members:
             merge_member(table, member, now=0.0)
-        table.untold.clear()
+        table.pending_transmissions.clear()
         tables[own.name] = table
     neighbours = {name: select_neighbours(table) for name, table in tables.items()}
     return _Fleet(tables=tables, neighbours=neighbours)
@@ -65,7 +65,7 @@
         version=table.members[sender].version,
         epoch=2_100,
         digest=combine_digests(table),
-        rumours=take_rumours(table),
+        rumours=dequeue_rumours(table),
     )
     data = encode_message(message)
     fleet.bytes += len(data)
@@ -93,7 +93,7 @@
         merge_member(fleet.tables[reporter], change, now=0.0)
     fleet.bytes = fleet.heartbeats = rounds = 0
     started = time.process_time()
-    while any(table.untold for table in fleet.tables.values()):
+    while any(table.pending_transmissions for table in fleet.tables.values()):
         _run_round(fleet, generator)
         rounds += 1
     seconds = time.process_time() - started
--- a/packages/standins/fulmarward_standins/bench/health.py
+++ b/packages/standins/fulmarward_standins/bench/health.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from fulmarward.peers import HealthNews, encode_message
+from fulmarward.peers import SummaryExchange, encode_message
 from fulmarward.targets import read_cache_events, read_load
 from fulmarward_core.declaration import DataCentre, Target, TargetKind
 from fulmarward_core.health import (
@@ -87,7 +87,9 @@
 
 
 async def _measure_reads() -> list[dict]:
-    plan = FleetPlan(instances=[], targets=[TargetPlan(name="e1")], is_applied=False)
+    plan = FleetPlan(
+        instances=[], targets=[TargetPlan(name="e1")], applies_declaration=False
+    )
     rows = []
     async with start_fleet(plan) as fleet, aiohttp.ClientSession() as session:
         proxy = _CountingProxy(fleet.find_target("e1").address)
@@ -261,7 +263,7 @@
             )
             for key in keys
         )
-        news = HealthNews(digest=2**63, summaries=records)
+        news = SummaryExchange(digest=2**63, summaries=records)
         return keys, len(encode_message(news)) + FRAME_BYTES
 
     def receive(self, peer: str, versions: dict[PoolKey, int]) -> None:
--- a/packages/standins/fulmarward_standins/bench/keys.py
+++ b/packages/standins/fulmarward_standins/bench/keys.py
@@ -7,10 +7,10 @@
 from statistics import median, quantiles
 
 from fulmarward.peers import (
-    AttemptRecorded,
-    NoteKey,
-    Nothing,
+    Ack,
     RecordAttempt,
+    RecordAttemptReply,
+    UpdateKeyRecord,
     encode_message,
 )
 from fulmarward_core.keys import (
@@ -113,10 +113,10 @@
         place=_PLACE,
     )
     notes = [
-        NoteKey(boot=2**41, key=_HASH, step=step, failure=None, answer=None)
+        UpdateKeyRecord(boot=2**41, key=_HASH, step=step, failure=None, answer=None)
         for step in (RecordStep.BEGIN, RecordStep.END)
     ]
-    answers = [AttemptRecorded(verdict=RecordVerdict.KEPT), Nothing(), Nothing()]
+    answers = [RecordAttemptReply(verdict=RecordVerdict.ACCEPTED), Ack(), Ack()]
     messages = [record, *notes, *answers]
     size = sum(len(encode_message(message)) + FRAME_BYTES for message in messages)
     return {"way": "bytes between home and witness", "bytes_a_call": size}
--- a/packages/standins/fulmarward_standins/demand/_instances.py
+++ b/packages/standins/fulmarward_standins/demand/_instances.py
@@ -6,21 +6,21 @@
 from fulmarward_core.admission import (
     Bucket,
     FairQueue,
-    Outputs,
+    OutputLengths,
     Refusal,
     Ticket,
     admit_ticket,
-    doubt_output,
-    drop_late,
-    expect_output,
+    compute_bucket_depth,
+    compute_share_fraction,
+    decay_output_estimate,
+    drop_expired,
+    estimate_output,
     make_bucket,
-    note_output,
     note_wait,
     pop_next,
+    record_output,
     resize_bucket,
     settle_tokens,
-    split_burst,
-    split_share,
 )
 from fulmarward_core.declaration import Target, TargetKind, Urgency
 from fulmarward_core.performance import (
@@ -33,8 +33,8 @@
 from fulmarward_core.results import ResultCode
 from fulmarward_core.retries import RetryBudget, note_first_try, spend_retry
 from fulmarward_core.routing import (
-    Ask,
     LoadReport,
+    RequestProfile,
     TargetView,
     choose_target,
     estimate_load,
@@ -73,7 +73,7 @@
     views: dict[str, TargetView] = field(default_factory=dict)
     queue: FairQueue = field(default_factory=FairQueue)
     buckets: dict[str, Bucket] = field(default_factory=dict)
-    outputs: dict[str, Outputs] = field(default_factory=dict)
+    outputs: dict[str, OutputLengths] = field(default_factory=dict)
     budget: RetryBudget = field(default_factory=RetryBudget)
     #: Queued and running calls with their tickets, by request id.
     calls: dict[str, tuple[Call, Ticket]] = field(default_factory=dict)
@@ -109,8 +109,8 @@
         return
     now = instance.simulation.now
     speed = measure_pool(list(instance.views.values()), now=now)
-    outputs = instance.outputs.setdefault(call.kind.name, Outputs())
-    expected = expect_output(outputs, call.bound)
+    outputs = instance.outputs.setdefault(call.kind.name, OutputLengths())
+    expected = estimate_output(outputs, call.bound)
     ticket = Ticket(
         request=str(call.number),
         team=call.team,
@@ -133,7 +133,7 @@
     )
     if isinstance(result, Refusal):
         if result.retry_after_s is None:
-            doubt_output(outputs)
+            decay_output_estimate(outputs)
         refuse_call(instance.simulation, call, result.code.name, result.retry_after_s)
         return
     instance.calls[result.request] = (call, result)
@@ -143,7 +143,7 @@
 def start_waiting_calls(instance: SimulatedInstance) -> None:
     """Refuse queued calls that are too late, then start calls in free places."""
     now = instance.simulation.now
-    for ticket in drop_late(instance.queue, now=now):
+    for ticket in drop_expired(instance.queue, now=now):
         call, _ = instance.calls.pop(ticket.request)
         note_wait(instance.queue, ticket, now=now)
         if not ticket.is_lent:
@@ -274,7 +274,9 @@
     else:
         finish_call(simulation, call, outcome)
     if outcome == "whole":
-        note_output(instance.outputs.setdefault(call.kind.name, Outputs()), call.output)
+        record_output(
+            instance.outputs.setdefault(call.kind.name, OutputLengths()), call.output
+        )
     if ticket is not None:
         simulation.schedule(simulation.now, lambda: start_waiting_calls(instance))
 
@@ -289,7 +291,7 @@
         data_centre=instance.data_centre,
         now=instance.simulation.now,
         generator=instance.simulation.generator,
-        ask=Ask(
+        profile=RequestProfile(
             prompt_tokens=call.prompt,
             output_tokens=call.output,
             prefixes=prefixes,
@@ -332,7 +334,7 @@
                 for number, other in enumerate(instances)
                 if number != index
             }
-            part = split_share(
+            part = compute_share_fraction(
                 own=instance.demand.get(team, 0.0),
                 others=others,
                 members=len(instances),
@@ -341,7 +343,7 @@
             resize_bucket(
                 instance.buckets[team],
                 rate=sold * part,
-                depth=split_burst(BURST_S * sold, part),
+                depth=compute_bucket_depth(BURST_S * sold, part),
                 now=instance.simulation.now,
             )
     for instance in instances:
--- a/packages/standins/fulmarward_standins/demo.py
+++ b/packages/standins/fulmarward_standins/demo.py
@@ -49,7 +49,7 @@
             TargetPlan(name="c2", serves="anchovy", layers=(8, 16)),
             TargetPlan(name="c3", serves="anchovy", layers=(16, 24)),
         ],
-        is_applied=False,
+        applies_declaration=False,
     )
 
 
--- a/packages/standins/fulmarward_standins/harness/__init__.py
+++ b/packages/standins/fulmarward_standins/harness/__init__.py
@@ -19,7 +19,11 @@
 )
 from fulmarward_standins.harness._ports import find_ports
 from fulmarward_standins.harness._processes import Process, start_process, wait_until
-from fulmarward_standins.harness._streams import CallerStream, open_stream, read_whole
+from fulmarward_standins.harness._streams import (
+    CallerStream,
+    open_stream,
+    read_full_stream,
+)
 from fulmarward_standins.harness._usage import Usage, read_usage
 
 __all__ = [
@@ -44,7 +48,7 @@
     "open_stream",
     "read_stream",
     "read_usage",
-    "read_whole",
+    "read_full_stream",
     "start_fleet",
     "start_process",
     "wait_until",
--- a/packages/standins/fulmarward_standins/harness/_fleet.py
+++ b/packages/standins/fulmarward_standins/harness/_fleet.py
@@ -52,7 +52,7 @@
     #: Delay of the platform's instance list, in seconds.
     list_lag_s: float = 0.0
     #: Whether the example declaration is applied and awaited at the start.
-    is_applied: bool = True
+    applies_declaration: bool = True
 
 
 @dataclass(kw_only=True)
@@ -118,7 +118,7 @@
             self.session, f"http://{self.platform_address}/control", switches
         )
 
-    async def list_members(self, entries: list[dict]) -> None:
+    async def publish_members(self, entries: list[dict]) -> None:
         """Update the members that the platform stand-in lists."""
         await call_json(
             self.session,
@@ -301,14 +301,14 @@
     for target in plan.targets:
         await fleet.start_target(target.name)
     await fleet.wait_listening(fleet.platform_address)
-    await fleet.list_members(_make_member_entries(plan))
+    await fleet.publish_members(_make_member_entries(plan))
     for instance in plan.instances:
         await fleet.start_instance(instance.name)
     for target in plan.targets:
         await fleet.wait_listening(target.address)
     for instance in plan.instances:
         await fleet.wait_listening(instance.caller_address)
-    if not plan.is_applied:
+    if not plan.applies_declaration:
         return
     applied = await fleet.apply(make_declaration(plan.targets))
     if applied.status != 200:
--- a/packages/standins/fulmarward_standins/harness/_streams.py
+++ b/packages/standins/fulmarward_standins/harness/_streams.py
@@ -30,7 +30,7 @@
         return [event.text for event in self.events if event.text]
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the end marker `[DONE]` arrived."""
         return bool(self.events) and self.events[-1].data == "[DONE]"
 
@@ -76,7 +76,7 @@
             response.close()
 
 
-async def read_whole(
+async def read_full_stream(
     fleet: Fleet, instance: str, prompt: str, **members: str
 ) -> CallerStream:
     """Return a streamed completion read to its end."""
