--- a/packages/core/fulmarward_core/catalogue/_catalogue.py
+++ b/packages/core/fulmarward_core/catalogue/_catalogue.py
@@ -139,7 +139,7 @@
         return changed
 
     def confirm(self, content_version: int, *, at: float) -> None:
-        """Record that a peer knew of no change after `stated_version` until `at`.
+        """Record that a peer knew of no change after `content_version` until `at`.
 
         It also confirms this catalogue if all changes up to that version are known.
         """
