--- a/packages/router/fulmarward_router/exchange/_plain.py
+++ b/packages/router/fulmarward_router/exchange/_plain.py
@@ -128,7 +128,7 @@
     def _choose_target(
         self, service: str, tried: set[str], now: float
     ) -> tuple[TargetRecord | None, bool]:
-        """Return the least loaded target, or `None` and whether others are full."""
+        """Return the least loaded target, or `None` and whether the others are full."""
         records = [
             record
             for record in self._catalogue.list_targets(now=now)
--- a/packages/router/fulmarward_router/exchange/tests/test_failure_detector.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_failure_detector.py
@@ -136,8 +136,8 @@
 
 
 @_without_loop_pauses
-class RejectedPathCheckTest(unittest.TestCase):
-    def test_check_waits_for_all_unreachable_targets_of_a_path(self):
+class RejectedPathTest(unittest.TestCase):
+    def test_probe_and_wait_finds_all_unreachable_targets_of_a_path(self):
         """Guards against targets that failed together and use up all attempts."""
         clock = _Clock()
         table = SuspicionTable()
