--- a/packages/router/fulmarward_router/mesh/_members.py
+++ b/packages/router/fulmarward_router/mesh/_members.py
@@ -100,7 +100,7 @@
     until: float
     #: Until when each live instance counts as fresh, by name.
     fresh: Mapping[str, float]
-    #: Those that may act for the fleet, in order: not leaving, and reach the store.
+    #: Those that may act for the fleet, in order: not leaving and reach the store.
     duty_candidates: tuple[str, ...]
     #: Those and the new ones that were not heard yet, in order.
     presumed_candidates: tuple[str, ...]
@@ -272,7 +272,7 @@
         )
 
     def _update_fresh(self, now: float) -> Mapping[str, float]:
-        """Return the fresh instances; record a change of those that became silent."""
+        """Return the fresh instances; record those that became fresh or silent."""
         fresh = self._find_view(now).fresh
         if fresh.keys() != self._reported_alive:
             for name in fresh.keys() ^ self._reported_alive:
@@ -494,7 +494,7 @@
         return self._find_view(now).duty_candidates
 
     def list_presumed_candidates(self, *, now: float) -> tuple[str, ...]:
-        """Return the same names, with new instances that were not heard yet."""
+        """Return the duty candidates and new instances not heard yet, in order."""
         return self._find_view(now).presumed_candidates
 
     def list_links(self, *, may_be_hub: bool, now: float) -> frozenset[str]:
--- a/packages/router/fulmarward_router/tests/test_instance_state.py
+++ b/packages/router/fulmarward_router/tests/test_instance_state.py
@@ -33,7 +33,7 @@
 
 
 class Peer:
-    """An instance's `Knowledge` and its tables, without links; `now` is its clock."""
+    """An `InstanceState` and its tables, without links; `now` is its clock."""
 
     def __init__(self, name, decode=_decode, link_bytes_per_s=None):
         self.now = 100.0
