--- a/packages/router/fulmarward_router/_listing.py
+++ b/packages/router/fulmarward_router/_listing.py
@@ -26,7 +26,7 @@
 
 
 class CallerListing:
-    """Lists ready instances for callers; more requests in flight list more of them."""
+    """Lists ready instances for callers: more of them when more requests run."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._lists: _Lists | None = None
 
     def list_addresses(self, data_centre: str) -> list[str]:
-        """Return the caller addresses to return to a caller in a data centre."""
+        """Return the addresses that a lookup from a data centre returns."""
         lists = self._get_lists()
         if data_centre not in lists.addresses:
             now = self._read_clock()
--- a/packages/router/fulmarward_router/_lookup.py
+++ b/packages/router/fulmarward_router/_lookup.py
@@ -9,8 +9,8 @@
 from fulmarward.observability import log_event
 from fulmarward_router._metrics import RouterMetrics
 
-#: Seconds for which callers cache a lookup. A failed instance is still called for as
-#: long.
+#: Seconds for which callers cache a lookup, equal to the time for which a failed
+#: instance stays listed.
 LOOKUP_DURATION_S = 1.0
 
 _READY_PATH = "/ready"
