--- a/packages/instance/fulmarward/requests/_drive.py
+++ b/packages/instance/fulmarward/requests/_drive.py
@@ -69,7 +69,7 @@
     #: The stages of the chain; changes when a cache is moved.
     stages: tuple[Stage, ...]
     calls: StageCalls
-    #: Builds a step's message from its stage, position and input.
+    #: Builds the request of a step from its stage, position and input.
     make_step_request: Callable[[Stage, int, object], StepRequest]
     #: Whether a step of this attempt may have run anywhere.
     may_have_run: bool = False
--- a/packages/instance/fulmarward/targets/_service.py
+++ b/packages/instance/fulmarward/targets/_service.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceRequest:
-    """A call to pass on to a service."""
+    """A call to send to a plain service."""
 
     #: HTTP method, path from `/` and query string.
     method: str
