--- a/packages/instance/fulmarward/peers/_messages.py
+++ b/packages/instance/fulmarward/peers/_messages.py
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeavingUpdate:
-    """New records of leaving targets; answered with `Nothing`."""
+    """New records of leaving targets; answered with `Ack`."""
 
     #: The new records.
     records: tuple[LeavingRecord, ...]
@@ -352,7 +352,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UpdateKeyRecord:
-    """Reports the progress of a request to the witness; answered with `Nothing`."""
+    """Reports the progress of a request to the witness; answered with `Ack`."""
 
     #: The boot number of the witness that is meant.
     boot: int
