--- a/packages/instance/fulmarward/platform/_adapter.py
+++ b/packages/instance/fulmarward/platform/_adapter.py
@@ -34,7 +34,7 @@
 
 @contextmanager
 def call_for_operator() -> Iterator[None]:
-    """Mark the calls made in the context as made for a waiting operator."""
+    """Let calls in the context pass an open circuit: an operator waits for them."""
     token = _IS_FOR_OPERATOR.set(True)
     try:
         yield
