--- a/packages/standins/fulmarward_standins/harness/tests/test_processes.py
+++ b/packages/standins/fulmarward_standins/harness/tests/test_processes.py
@@ -20,7 +20,7 @@
             Process(name="p", child=child, log=ended.log).send(signal.SIGKILL)
 
     async def test_child_has_its_own_process_group(self):
-        """Guards against the kernel continuing a stopped child of an orphaned group."""
+        """Guards against a stopped child that continues when its group is orphaned."""
         with tempfile.TemporaryDirectory() as folder:
             command = [sys.executable, "-c", "import time; time.sleep(60)"]
             process = await start_process("p", command, Path(folder))
