--- a/packages/core/fulmarward_core/admission/decisions/_estimates.py
+++ b/packages/core/fulmarward_core/admission/decisions/_estimates.py
@@ -20,8 +20,9 @@
 from fulmarward_core.results import ResultCode
 
 #: Maximum wait in the queue by urgency, in seconds. Under saturation, waiting requests
-#: hold memory and hide that the pool is full. An urgent user can wait only seconds (a
-#: van on the road); a bulk caller gains nothing by waiting here instead of retrying.
+#: hold memory and hide that the pool is full. An urgent caller, such as a van on the
+#: road, can wait only seconds; a bulk caller gains nothing by waiting here instead of
+#: retrying.
 MAX_WAIT_S = {Urgency.URGENT: 2.0, Urgency.NORMAL: 5.0, Urgency.BULK: 20.0}
 
 #: Maximum wait on lent capacity, in seconds. When other teams use their shares again,
--- a/packages/core/fulmarward_core/admission/decisions/_queue.py
+++ b/packages/core/fulmarward_core/admission/decisions/_queue.py
@@ -37,7 +37,10 @@
 
 
 def _drop_idle_flows(schedule: FlowSchedule, key: object, *, is_empty: bool) -> None:
-    """Drop idle flows whose start tag the virtual time has reached."""
+    """Drop idle flows whose start tag the virtual time has reached.
+
+    Until then the tag records service that the other flows have not yet caught up with.
+    """
     if is_empty:
         schedule.flows[key].backlog_s = 0.0
     idle = [
