--- a/packages/core/fulmarward_core/keys/_types.py
+++ b/packages/core/fulmarward_core/keys/_types.py
@@ -29,7 +29,7 @@
     EXPIRED = "expired"
     #: The key is so old that its entry may have been dropped.
     TOO_OLD = "too_old"
-    #: The table is full; nothing is known about the key.
+    #: The table is full; this does not tell whether a request ran with the key.
     FULL = "full"
 
 
@@ -51,7 +51,7 @@
     RECORDED = "recorded"
     #: Another instance took the key over: the home may no longer dispatch.
     TAKEN = "taken"
-    #: A target is known to have started.
+    #: A target is known to have started the request.
     BEGAN = "began"
     #: The request is known to have ended.
     ENDED = "ended"
@@ -66,7 +66,7 @@
     RECORD = "record"
     #: An instance that cannot reach the home takes the key over.
     TAKE = "take"
-    #: A target started.
+    #: A target started the request.
     BEGIN = "begin"
     #: The request ended.
     END = "end"
@@ -149,7 +149,7 @@
     #: Attempts that the home may have dispatched.
     places: tuple[AttemptPlace, ...] = ()
     failure: Failure | None = None
-    #: Stored answer of a call without a stream to resume.
+    #: Answer of a call without a stream to resume, while it is stored.
     answer: ResultCopy | None = None
 
 
--- a/packages/core/fulmarward_core/keys/decisions/_ages.py
+++ b/packages/core/fulmarward_core/keys/decisions/_ages.py
@@ -38,16 +38,18 @@
     return ClaimDecision.EXPIRED if now > expires_at else None
 
 
-def store_answer(kept: StoredAnswers, key: str, size: int, drop_at: float) -> None:
-    kept.items.append((key, drop_at, size))
-    kept.bytes += size
+def store_answer(stored: StoredAnswers, key: str, size: int, drop_at: float) -> None:
+    stored.items.append((key, drop_at, size))
+    stored.bytes += size
 
 
 def drop_answers(
-    kept: StoredAnswers, entries: Mapping[str, KeyEntry | WitnessRecord], now: float
+    stored: StoredAnswers, entries: Mapping[str, KeyEntry | WitnessRecord], now: float
 ) -> None:
-    while kept.items and (kept.items[0][1] < now or kept.bytes > MAX_STORED_BYTES):
-        key, _, size = kept.items.popleft()
-        kept.bytes -= size
+    while stored.items and (
+        stored.items[0][1] < now or stored.bytes > MAX_STORED_BYTES
+    ):
+        key, _, size = stored.items.popleft()
+        stored.bytes -= size
         if key in entries:
             entries[key].answer = None
