--- a/packages/core/fulmarward_core/layers/decisions/__init__.py
+++ b/packages/core/fulmarward_core/layers/decisions/__init__.py
@@ -4,8 +4,8 @@
 trade-off. The planner aims for the following:
 
 - Every layer is held by some engine.
-- Each data centre holds the whole model if its memory allows it, since sending a
-  prompt's activations between data centres fills the pipe for tens of ms.
+- Each data centre holds the whole model if its memory allows it, since a
+  prompt's activations occupy the link between data centres for tens of ms.
 - The tokens of an answer pass through fast engines for as many layers as these hold.
 - The smallest KV cache of any engine is as large as possible, since a request needs
   KV cache on every engine of its path.
--- a/packages/core/fulmarward_core/layers/decisions/_gaps.py
+++ b/packages/core/fulmarward_core/layers/decisions/_gaps.py
@@ -1,6 +1,6 @@
 """Closing of gaps: layers that no target of a data centre holds any more.
 
-A data centre without a complete copy of the model sends every prompt through the pipe
+A data centre without a complete copy of the model sends every prompt through the link
 that all data centres share.
 """
 
@@ -22,7 +22,7 @@
 GAP_KV_TOKENS = (MIN_KV_TOKENS, 20_000, 10_000)
 
 #: The same when some targets give up layers. With less KV cache the data centre would
-#: serve fewer requests than go through the pipe without a complete model.
+#: serve fewer requests than go through the shared link without a complete model.
 SHIFT_KV_TOKENS = (MIN_KV_TOKENS, 20_000)
 
 #: Maximum number of targets that move to close gaps of one data centre.
--- a/packages/core/fulmarward_core/layers/decisions/_repairs.py
+++ b/packages/core/fulmarward_core/layers/decisions/_repairs.py
@@ -82,13 +82,13 @@
     def count(members: list[TargetRecord]) -> list[int]:
         return count_holders(engine.layers, [ranges[item.name] for item in members])
 
-    near = count([item for item in held if item.data_centre == target.data_centre])
+    local = count([item for item in held if item.data_centre == target.data_centre])
     everywhere = count(held)
     fast = count([item for item in held if item.kind in fast_kinds])
 
     def score(span: slice) -> tuple[int, ...]:
         missing_fast = fast[span].count(0) if is_in_chain else 0
-        missing = near[span].count(0)
-        return -missing_fast, -missing, sum(near[span]), sum(everywhere[span])
+        missing = local[span].count(0)
+        return -missing_fast, -missing, sum(local[span]), sum(everywhere[span])
 
     return choose_range(engine.layers, size, score)
--- a/packages/core/fulmarward_core/layers/tests/test_decisions.py
+++ b/packages/core/fulmarward_core/layers/tests/test_decisions.py
@@ -259,7 +259,7 @@
 
     def test_gap_of_any_lost_small_engine_is_closed_within_its_data_centre(self):
         # Single engines are removed for good. A data centre whose gap stays open sends
-        # every prompt through the pipe that all data centres share.
+        # every prompt through the link that all data centres share.
         for lost in self.fleet:
             if lost.kind != "small":
                 continue  # Two neighbours cannot take over a larger engine's range.
