--- a/packages/core/fulmarward_core/paces/_table.py
+++ b/packages/core/fulmarward_core/paces/_table.py
@@ -67,7 +67,10 @@
 
 
 class SlowStreamDetector:
-    """Detects from the pauses of one stream that a target on its path is slow."""
+    """Detects from the pauses of one stream that a target on its path is slow.
+
+    Before the first event, the time since the stream was sent counts instead.
+    """
 
     def __init__(self) -> None:
         self._mean_pause_s: float | None = None
--- a/packages/core/fulmarward_core/paces/tests/test_table.py
+++ b/packages/core/fulmarward_core/paces/tests/test_table.py
@@ -26,12 +26,12 @@
         self.assertEqual(table.find("t", now=1.0), 1.0)
 
 
-class SlowSignsTest(unittest.TestCase):
+class SlowStreamDetectorTest(unittest.TestCase):
     def _is_slow(self, pauses, silent_s=0.02, *, has_begun=True):
-        signs = SlowStreamDetector()
+        detector = SlowStreamDetector()
         for pause in pauses:
-            signs.note_pause(pause)
-        return signs.is_slow(
+            detector.note_pause(pause)
+        return detector.is_slow(
             silent_s=silent_s, has_begun=has_begun, objective_s=0.5, pause_s=0.25
         )
 
