--- a/packages/core/fulmarward_core/paths/decisions.py
+++ b/packages/core/fulmarward_core/paths/decisions.py
@@ -275,17 +275,19 @@
             key=lambda centre: (centre != request.data_centre, centre),
         )
         for centre in centres:
-            far_ms = (
+            remote_ms = (
                 0.0 if centre == request.data_centre else request.remote.first_hop_ms
             )
-            lower_bound_ms = far_ms + self._bounds[centre].estimate_ms(request)
+            lower_bound_ms = remote_ms + self._bounds[centre].estimate_ms(request)
             if cheapest is not None and lower_bound_ms >= cheapest.cost:
                 continue
             holders = [
                 {centre: by_centre[centre]} if centre in by_centre else {}
                 for by_centre in self._holders
             ]
-            end = self._search_from(search, holders, 0, {centre: _PartialPath(far_ms)})
+            end = self._search_from(
+                search, holders, 0, {centre: _PartialPath(remote_ms)}
+            )
             if end is not None and (cheapest is None or end.cost < cheapest.cost):
                 cheapest = end
         return cheapest
@@ -311,7 +313,7 @@
             if reached[at]:
                 search.extend(reached, at, holders[at])
         ends = reached[self.engine.layers]
-        return min(ends.values(), key=lambda reach: reach.cost, default=None)
+        return min(ends.values(), key=lambda path: path.cost, default=None)
 
 
 def _list_hops(end: _PartialPath, first: Hop | None) -> tuple[Hop, ...]:
@@ -355,7 +357,7 @@
         holders: dict[str, list[Stage]],
     ) -> None:
         """Extend the paths that end at a layer, and keep the cheapest for each end."""
-        # No other path ends at the first layer.
+        # At layer 0 there is only the empty path from which the search starts.
         is_start = position == 0 and self.request.first is None
         paths = list(reached[position].items())
         for centre, stages in holders.items():
@@ -424,8 +426,8 @@
         if occupancy is None:
             return None
         required = self._tokens * (stage.layers.end - stage.layers.start)
-        is_near = stage.data_centre == self.request.data_centre
-        planned = USABLE_KV_SHARE if is_near else self.request.remote.usable_kv_share
+        is_local = stage.data_centre == self.request.data_centre
+        planned = USABLE_KV_SHARE if is_local else self.request.remote.usable_kv_share
         planned *= self.request.kv_share
         if occupancy.kv_reserved + required > stage.kv_capacity * planned:
             return None
--- a/packages/core/fulmarward_core/paths/tests/exhaustive.py
+++ b/packages/core/fulmarward_core/paths/tests/exhaustive.py
@@ -94,8 +94,8 @@
     if not stage.is_usable or stage.target in request.avoided:
         return False
     required = tokens * len(stage.layers)
-    is_near = stage.data_centre == request.data_centre
-    planned = USABLE_KV_SHARE if is_near else request.remote.usable_kv_share
+    is_local = stage.data_centre == request.data_centre
+    planned = USABLE_KV_SHARE if is_local else request.remote.usable_kv_share
     planned *= request.kv_share
     return stage.kv_reserved + required <= stage.kv_capacity * planned
 
@@ -112,8 +112,8 @@
     if not path.hops:
         if stage.first_running >= engine.slots:
             return
-        is_far = stage.data_centre != request.data_centre
-        crossing_ms = request.remote.first_hop_ms if is_far else 0.0
+        is_remote = stage.data_centre != request.data_centre
+        crossing_ms = request.remote.first_hop_ms if is_remote else 0.0
     elif stage.data_centre != path.data_centre and not request.may_cross:
         return
     else:
