--- a/packages/core/fulmarward_core/performance/decisions.py
+++ b/packages/core/fulmarward_core/performance/decisions.py
@@ -93,10 +93,10 @@
     subtracting that for the prompt and one token.
     """
     limit = get_limit(performance, slots=slots)
-    is_crowded = load >= slots / 2
-    _note_prefill(performance, waited_s, prompt_tokens, is_crowded=is_crowded)
+    is_busy = load >= slots / 2
+    _note_prefill(performance, waited_s, prompt_tokens, is_busy=is_busy)
     wait_s = waited_s - prompt_tokens * performance.prefill_s - performance.token_s
-    wait_s = _subtract_overhead(performance, wait_s, is_crowded=is_crowded)
+    wait_s = _subtract_overhead(performance, wait_s, is_busy=is_busy)
     if wait_s > (MAX_LENT_WAIT_S if is_lent else MAX_WAIT_S):
         _cut_limit(performance, limit, CUT_FACTOR, now)
     elif in_flight >= limit - 1:
@@ -105,7 +105,7 @@
 
 
 def _note_prefill(
-    performance: Performance, waited_s: float, prompt_tokens: int, *, is_crowded: bool
+    performance: Performance, waited_s: float, prompt_tokens: int, *, is_busy: bool
 ) -> None:
     """Update the low quantile; raise it only if no queue can be the cause."""
     if prompt_tokens < MIN_PREFILL_SAMPLE_TOKENS:
@@ -113,12 +113,12 @@
     sample = max(0.0, waited_s - performance.token_s) / prompt_tokens
     if sample < performance.prefill_s:
         performance.prefill_s += 0.05 * (sample - performance.prefill_s)
-    elif not is_crowded:
+    elif not is_busy:
         performance.prefill_s += 0.1 * (sample - performance.prefill_s)
 
 
 def _subtract_overhead(
-    performance: Performance, wait_s: float, *, is_crowded: bool
+    performance: Performance, wait_s: float, *, is_busy: bool
 ) -> float:
     """Return the wait without the round-trip overhead, and update that overhead.
 
@@ -127,7 +127,7 @@
     """
     if wait_s < performance.overhead_s:
         performance.overhead_s += 0.2 * (max(0.0, wait_s) - performance.overhead_s)
-    elif not is_crowded:
+    elif not is_busy:
         sample = min(wait_s, MAX_OVERHEAD_S)
         performance.overhead_s += 0.05 * (sample - performance.overhead_s)
     return wait_s - performance.overhead_s
