--- a/packages/core/fulmarward_core/placement/_types.py
+++ b/packages/core/fulmarward_core/placement/_types.py
@@ -17,7 +17,7 @@
     layers: tuple[int, int]
     #: Names of the adapters, sorted.
     adapters: tuple[str, ...]
-    #: `serving`.
+    #: Role of the target; `serving` if it runs requests.
     role: str
 
 
