--- a/packages/core/fulmarward_core/quotas/tests/test_retries.py
+++ b/packages/core/fulmarward_core/quotas/tests/test_retries.py
@@ -89,7 +89,7 @@
             )
 
 
-class RetryTurnTest(unittest.TestCase):
+class PollRetryTest(unittest.TestCase):
     def setUp(self):
         #: A single instance: 0.7 x 10 retries in ten seconds.
         self.budget = RetryBudget(ratio=0.2, slack=10.0, window_s=10.0)
@@ -105,7 +105,7 @@
 
     def test_unstarted_requests_leave_a_part_to_started_ones(self):
         # Unstarted requests used up the share, and a started answer was truncated
-        # within_retries the same second.
+        # in the same second.
         self.assertEqual(self.take_all(now=0.0, part=UNSTARTED_SHARE), 3)
         self.assertEqual(self.take_all(now=0.1), 4)
         self.assertEqual(self.take_all(now=0.2, part=UNSTARTED_SHARE), 0)
