--- a/packages/core/fulmarward_core/routing/decisions.py
+++ b/packages/core/fulmarward_core/routing/decisions.py
@@ -134,8 +134,8 @@
     ]
     if profile.may_probe:
         return below_limit
-    unprobed = [view for view in below_limit if not view.performance.probes_left]
-    return unprobed or below_limit
+    not_probing = [view for view in below_limit if not view.performance.probes_left]
+    return not_probing or below_limit
 
 
 def estimate_load(view: TargetView, *, now: float) -> float:
