--- a/packages/core/fulmarward_core/streams/_locators.py
+++ b/packages/core/fulmarward_core/streams/_locators.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Locator:
-    """Identification of a stream at its engines, and the terms of its request."""
+    """Identifies a stream at its engines, and states what resuming it depends on."""
 
     #: Id of the request.
     request: str
@@ -71,7 +71,7 @@
 
 
 def open_locator(sealed: str, *, team: str, secret: bytes) -> Locator | None:
-    """Return the locator, or `None` if it was not sealed here for this team."""
+    """Return the locator, or `None` if it was not sealed with `secret` for `team`."""
     try:
         raw = base64.urlsafe_b64decode(sealed.encode() + b"=" * (-len(sealed) % 4))
     except ValueError:
--- a/packages/core/fulmarward_core/streams/tests/test_locators.py
+++ b/packages/core/fulmarward_core/streams/tests/test_locators.py
@@ -49,7 +49,7 @@
     def test_any_text_is_refused_without_an_error(self, text):
         self.assertIsNone(open_locator(text, team="folha", secret=_SECRET))
 
-    def test_event_ids_are_split(self):
+    def test_event_ids_are_parsed(self):
         cases = [
             (make_event_id("abc", 4), ("abc", 4, "")),
             (make_event_id("abc", 4, "1f"), ("abc", 4, "1f")),
