--- a/packages/core/fulmarward_core/probing/decisions.py
+++ b/packages/core/fulmarward_core/probing/decisions.py
@@ -137,22 +137,22 @@
         unreachable=probe_round.missing_in_question,
         suspects=probe_round.missing_controls,
     )
-    hears_controls = _hears_controls(probe_round)
+    has_timely_answers = _has_timely_answers(probe_round)
     if probe_round.timeout_s >= CONFIRM_TIMEOUT_S:
-        if hears_controls and not probe_round.is_mostly_paused:
+        if has_timely_answers and not probe_round.is_mostly_paused:
             return found
         return ProbeVerdict(is_isolated=True)
     is_first = not probe_round.is_repeat
     is_most = is_first and len(missing) * 2 > len(probe_round.probed)
     is_paused_again = probe_round.is_paused and not is_first
-    if not hears_controls or probe_round.is_late or is_most or is_paused_again:
+    if not has_timely_answers or probe_round.is_late or is_most or is_paused_again:
         return ProbeVerdict(retry_timeout_s=CONFIRM_TIMEOUT_S)
     if is_first and (len(missing) > 1 or probe_round.is_paused):
         return ProbeVerdict(retry_timeout_s=PROBE_TIMEOUT_S)
     return found
 
 
-def _hears_controls(probe_round: ProbeRound) -> bool:
+def _has_timely_answers(probe_round: ProbeRound) -> bool:
     """Return whether the median answer arrived well within the timeout."""
     if not probe_round.answers:
         return False
