--- a/packages/core/fulmarward_core/suspicion/_table.py
+++ b/packages/core/fulmarward_core/suspicion/_table.py
@@ -14,10 +14,10 @@
 #: Some of its running requests complete in that time.
 SATURATED_DURATION_S = 0.4
 
-#: The exclusion doubles up to this many seconds while a target keeps rejecting, and
-#: starts over after `_SATURATED_RESET_S` without a rejection. Guards against targets
-#: that leave during an outage of the store: every request would try several of them
-#: and run out of attempts.
+#: The exclusion doubles up to this many seconds while a target keeps rejecting. It
+#: starts over if no rejection follows within `_SATURATED_RESET_S` after its end. Guards
+#: against targets that leave during an outage of the store: every request would try
+#: several of them and run out of attempts.
 MAX_SATURATED_DURATION_S = 3.2
 _SATURATED_RESET_S = 2.0
 
@@ -43,7 +43,7 @@
 
     #: Name of the target.
     target: str
-    #: End of the exclusion, in seconds on the steady clock.
+    #: End of the exclusion, in seconds on the monotonic clock.
     until: float
     #: Duration of the last exclusion in seconds.
     lasted_s: float
@@ -181,7 +181,7 @@
             )
 
     def record_saturated(self, target: str, *, now: float) -> None:
-        """Record that a target lacks capacity or is changing its layers."""
+        """Record a rejection, for lack of capacity or due to a change of layers."""
         known = self._suspicions.get(target)
         if known is not None and now < known.until:
             return
