--- a/packages/core/fulmarward_core/platform/_types.py
+++ b/packages/core/fulmarward_core/platform/_types.py
@@ -28,7 +28,7 @@
 
     #: Available tokens; negative while admitted calls wait for their start.
     tokens: float
-    #: When it was last refilled, in seconds of the monotonic clock.
+    #: When it was last refilled, in seconds on the monotonic clock.
     refilled_at: float = float("-inf")
 
 
--- a/packages/core/fulmarward_core/platform/decisions.py
+++ b/packages/core/fulmarward_core/platform/decisions.py
@@ -22,8 +22,8 @@
 #: of tokens. This is safe for the platform as few instances write at all.
 MIN_CALLS_PER_S = {CallKind.READ: 2.0, CallKind.WRITE: 1.5}
 
-#: Minimum burst of calls. An instance makes four reads at its start; the limit holds
-#: for 330 instances that start together, with the same risk as for FLEET_CALLS_PER_S.
+#: Minimum size of a burst: an instance makes four reads at its start. A larger burst of
+#: 330 instances that start together would slow the platform for its other users.
 MIN_BURST = 5.0
 
 #: Maximum delay of an admitted call in seconds. A call that would wait longer is
