--- a/packages/core/fulmarward_core/listing/decisions.py
+++ b/packages/core/fulmarward_core/listing/decisions.py
@@ -17,8 +17,8 @@
 #: complemented with instances of other data centres.
 MIN_LISTED = 8
 
-#: Mean number of open requests for which an instance is listed. An instance with half
-#: a core can handle some ten times as many.
+#: Mean number of open requests of a listed instance. An instance with half a core can
+#: handle some ten times as many.
 OPEN_REQUESTS_PER_INSTANCE = 12
 
 #: Step size of the number of listed instances, so that the list changes rarely.
@@ -33,7 +33,8 @@
     data_centre: str
     #: `IP:PORT` for callers.
     address: str
-    #: Whether it does work for other instances; callers should rather avoid it.
+    #: Whether it has duties for other instances, as hubs do, so that callers should
+    #: rather avoid it.
     has_duty: bool
 
 
