--- a/packages/core/fulmarward_core/catalogue/_catalogue.py
+++ b/packages/core/fulmarward_core/catalogue/_catalogue.py
@@ -38,7 +38,7 @@
     value: bytes | None
     #: The decoded row, `None` if it describes no usable target.
     record: TargetRecord | None
-    #: When this version became known here, in seconds on the steady clock.
+    #: When this version became known here, in seconds on the monotonic clock.
     heard_at: float
 
 
@@ -53,7 +53,7 @@
         self._expired: dict[str, tuple[TargetRecord, float]] = {}
         #: When confirmations resumed after a gap of more than `EXPIRY_AGE_S`.
         self._recovered_at = float("-inf")
-        #: When the table was first read.
+        #: When the whole table was first received, from the store or from a peer.
         self._first_read_at = float("-inf")
         #: The store's version up to which every change is known.
         self.version = 0
@@ -62,7 +62,7 @@
         #: Version of the last change of any row's content.
         self._last_changed = 0
         #: When `version` was last confirmed to be current, by the store or a peer; in
-        #: seconds on the steady clock.
+        #: seconds on the monotonic clock.
         self.confirmed_at = float("-inf")
         #: Incremented with each change of the result of `list_targets`.
         self.revision = 0
--- a/packages/core/fulmarward_core/catalogue/_confirmation.py
+++ b/packages/core/fulmarward_core/catalogue/_confirmation.py
@@ -6,9 +6,9 @@
 ) -> float:
     """Return the latest time at which the answer is known to have been current.
 
-    All times are seconds on the steady clock. The store answers a call that waits for
-    changes at some time between `asked_at` and `now`: without changes at the end of the
-    wait, with changes possibly as early as `asked_at`.
+    All times are seconds on the monotonic clock. The store answers a call that waits
+    for changes at some time between `asked_at` and `now`: without changes at the end of
+    the wait, with changes possibly as early as `asked_at`.
 
     Guards against an answer that is delayed by a saturated link: if it counted as
     current, an instance would deny what a newer configuration allows.
--- a/packages/core/fulmarward_core/health/_cache.py
+++ b/packages/core/fulmarward_core/health/_cache.py
@@ -24,7 +24,8 @@
 
     The last known event is requested again. If it is not the first one returned, or if
     the sequence has a gap, events were lost or the engine restarted with an empty
-    cache: known prefixes then expire within `PREFIX_TTL_AFTER_GAP_S`.
+    cache: known prefixes then expire within `PREFIX_TTL_AFTER_GAP_S`. If no event is
+    returned at all, they are discarded at once.
     """
     if not events:
         if view.cache_sequence > 0:
--- a/packages/core/fulmarward_core/health/_types.py
+++ b/packages/core/fulmarward_core/health/_types.py
@@ -34,7 +34,7 @@
     """What this instance itself observed of one target from one source."""
 
     is_leaving: bool
-    #: Since when all observations agree, in seconds on the steady clock.
+    #: Since when all observations agree, in seconds on the monotonic clock.
     since: float
 
 
@@ -50,7 +50,7 @@
     records: dict[LeavingKey, LeavingRecord] = field(default_factory=dict)
     #: The latest observations of this instance itself.
     observations: dict[LeavingKey, Observation] = field(default_factory=dict)
-    #: When each record was received, in seconds on the steady clock.
+    #: When each record was received, in seconds on the monotonic clock.
     received_at: dict[LeavingKey, float] = field(default_factory=dict)
 
 
@@ -65,7 +65,7 @@
     waiting: int
     #: Number of targets that accept new work.
     open_targets: int
-    #: When the numbers were computed, in seconds on this instance's steady clock.
+    #: When the numbers were computed, in seconds on this instance's monotonic clock.
     computed_at: float
 
 
@@ -96,5 +96,5 @@
     """Limits the byte rate that the tasks of one instance share."""
 
     bytes_per_s: float
-    #: When the next read may begin, in seconds on the steady clock.
+    #: When the next read may begin, in seconds on the monotonic clock.
     free_from: float = float("-inf")
