--- a/packages/core/fulmarward_core/leases/__init__.py
+++ b/packages/core/fulmarward_core/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases in the platform's table: one holder per pool, with a fencing token."""
+"""Leases in the platform's table: one holder per pool, with a fencing number."""
 
 from fulmarward_core.leases._types import (
     ABSENT_LEASE,
--- a/packages/core/fulmarward_core/leases/_types.py
+++ b/packages/core/fulmarward_core/leases/_types.py
@@ -73,7 +73,7 @@
     lease: Lease = ABSENT_LEASE
     version: int = 0
     unchanged_since: float = float("-inf")
-    #: End of this instance's lease, in seconds on its steady clock.
+    #: End of this instance's lease, in seconds on its monotonic clock.
     held_until: float = float("-inf")
     #: The fencing number of that lease.
     fencing: int = 0
--- a/packages/core/fulmarward_core/leases/decisions.py
+++ b/packages/core/fulmarward_core/leases/decisions.py
@@ -40,7 +40,7 @@
     #: `WRITE`: the lease to write, on condition that the row still has this version.
     lease: Lease | None = None
     version: int = 0
-    #: `WAIT`: end of the wait, in seconds on the steady clock.
+    #: `WAIT`: end of the wait, in seconds on the monotonic clock.
     until: float = 0.0
 
 
