--- a/packages/core/fulmarward_core/codec/_codec.py
+++ b/packages/core/fulmarward_core/codec/_codec.py
@@ -27,7 +27,7 @@
     array_like=True,
     forbid_unknown_fields=True,
 ):
-    """A base class of messages that msgspec validates and builds in native code.
+    """Base class of messages that msgspec validates and builds in native code.
 
     It is meant for frequent or large messages; all others are data classes. Both have
     the same encoding: the fields in order, without their names.
--- a/packages/core/fulmarward_core/membership/_types.py
+++ b/packages/core/fulmarward_core/membership/_types.py
@@ -72,9 +72,9 @@
     own_name: str
     #: Members by name.
     members: dict[str, Member] = field(default_factory=dict)
-    #: Start of each suspicion, in seconds on the steady clock.
+    #: Start of each suspicion, in seconds on the monotonic clock.
     suspected_at: dict[str, float] = field(default_factory=dict)
-    #: When each dead member was declared dead, in seconds on the steady clock.
+    #: When each dead member was declared dead, in seconds on the monotonic clock.
     dead_at: dict[str, float] = field(default_factory=dict)
     #: Remaining transmissions of each recent change, by member name.
     pending_transmissions: dict[str, int] = field(default_factory=dict)
--- a/packages/core/fulmarward_core/results/_codes.py
+++ b/packages/core/fulmarward_core/results/_codes.py
@@ -1,6 +1,6 @@
 """The table of result codes: a number for each result that callers can receive.
 
-The thousands digit gives the category: 1: the caller has to correct the request;
+The thousands digit gives the category. 1: the caller has to correct the request;
 2: the caller retries later (nothing was executed); 3: the request was executed;
 4: it is unknown whether it was executed; 5: the operator has to act.
 docs/RESULT-CODES.md is rendered from this table, which a test checks.
--- a/packages/core/fulmarward_core/stalls/decisions.py
+++ b/packages/core/fulmarward_core/stalls/decisions.py
@@ -46,9 +46,9 @@
 ) -> float:
     """Return the seconds until the next check of open streams.
 
-    `last_events` holds the time of each stream's last event, in seconds on the steady
-    clock. No stream counts as stalled before one of them has been silent for long
-    enough; from then on checks are `interval_s` apart.
+    `last_events` holds the time of each stream's last event, in seconds on the
+    monotonic clock. No stream counts as stalled before one of them has been silent for
+    long enough; from then on checks are `interval_s` apart.
     """
     silence_s = min(MIN_STALL_S, compute_joint_stall_s(mean_pause_s))
     due_at = min(last_events, default=now) + silence_s
