--- a/packages/instance/fulmarward/answers/_answer.py
+++ b/packages/instance/fulmarward/answers/_answer.py
@@ -39,8 +39,8 @@
     task: asyncio.Task | None = None
     #: Whether the caller can resume it, by event id or idempotency key.
     is_resumable: bool = False
-    #: Whether it belongs to an idempotency key: it then runs to its end even without
-    #: readers.
+    #: Whether this is the answer at the home of an idempotency key: it then runs to its
+    #: end even without readers.
     has_idempotency_key: bool = False
     #: Number of callers reading now.
     readers: int = 0
--- a/packages/instance/fulmarward/callers/_bodies.py
+++ b/packages/instance/fulmarward/callers/_bodies.py
@@ -57,7 +57,7 @@
     return f"{role}: {content or ''}"
 
 
-def _read_anything(value: Any, where: str, faults: list[Fault]) -> Any:  # noqa: ANN401
+def _read_unchecked(value: Any, where: str, faults: list[Fault]) -> Any:  # noqa: ANN401
     return value
 
 
@@ -81,7 +81,7 @@
             "content": Field(read=read_optional(_read_content), default=None),
             "name": Field(read=_READ_TEXT, default=None),
             "tool_call_id": Field(read=_READ_TEXT, default=None),
-            "tool_calls": Field(read=_read_anything, default=None),
+            "tool_calls": Field(read=_read_unchecked, default=None),
         },
     ),
     least=1,
@@ -110,7 +110,7 @@
     "service_tier best_of echo suffix parallel_tool_calls reasoning_effort"
 ).split()
 _IGNORED_FIELDS = {
-    name: Field(read=_read_anything, default=None) for name in _IGNORED_NAMES
+    name: Field(read=_read_unchecked, default=None) for name in _IGNORED_NAMES
 }
 
 
@@ -146,7 +146,7 @@
         async with asyncio.timeout(limits.body_ms / 1000):
             return await request.read()
     except web.HTTPRequestEntityTooLarge as error:
-        detail = f"The limit is {limits.body_bytes} bytes."
+        detail = f"At most {limits.body_bytes} bytes are taken."
         failure = make_failure(ResultCode.BODY_TOO_LARGE, detail)
         raise CallerError(failure=failure) from error
     except TimeoutError as error:
--- a/packages/instance/fulmarward/callers/_resume.py
+++ b/packages/instance/fulmarward/callers/_resume.py
@@ -60,11 +60,9 @@
         digest_prompt(work.prompt),
     )
     if not is_same:
-        raise _make_event_id_error(
-            "Expected the body of the request that began the stream."
-        )
+        raise _make_event_id_error("Expected the body that the stream was begun with.")
     if not is_streamed:
-        raise _make_event_id_error("Expected a streamed call.")
+        raise _make_event_id_error("Expected a call that is streamed.")
     work = _restore_work(instance, work, locator)
     answer = instance.answers.get(work.request)
     is_here = answer is not None and answer.team == work.team
--- a/packages/instance/fulmarward/callers/_server.py
+++ b/packages/instance/fulmarward/callers/_server.py
@@ -40,7 +40,7 @@
     is_full = len(instance.answers) >= instance.settings.limits.open_requests
     is_serving = instance.lifecycle.state == "serving"
     if EVENT_ID_HEADER in request.headers and (is_full or not is_serving):
-        # The stream exists, so its request has run: "not run" would be false.
+        # The stream exists, so "not run" would be false for its request.
         return make_failure(ResultCode.STILL_RUNNING, retry_after_ms=RETRY_AFTER_MS)
     code = _STATE_CODES.get(instance.lifecycle.state)
     if code is None and instance.has_paused():
