--- a/packages/instance/fulmarward/configuration/_adopt.py
+++ b/packages/instance/fulmarward/configuration/_adopt.py
@@ -156,11 +156,11 @@
     announcer = instance.epoch_source
     if not announcer:
         return False
-    news = await _request_head(links, announcer)
-    if news is None:
+    reply = await _request_head(links, announcer)
+    if reply is None:
         return False
     sources = _list_sources(instance, links, [announcer])
-    return await adopt_head(instance, news.head, sources)
+    return await adopt_head(instance, reply.head, sources)
 
 
 async def poll_platform(instance: Instance, links: PeerLinks) -> bool:
@@ -188,7 +188,7 @@
         return is_adopted and instance.snapshot.head.epoch > 0
     answers = await _request_heads(links, list_peers(instance))
     if not is_newest_known(
-        [None if news is None else news.is_confirmed for news in answers.values()]
+        [None if reply is None else reply.is_confirmed for reply in answers.values()]
     ):
         log_event("configuration_unknown", level=logging.WARNING, reason=row.detail)
         return False
@@ -198,7 +198,7 @@
 async def _adopt_highest(
     instance: Instance, links: PeerLinks, answers: Mapping[str, HeadReply | None]
 ) -> bool:
-    heads = {address: news.head for address, news in answers.items() if news}
+    heads = {address: reply.head for address, reply in answers.items() if reply}
     newest = max(heads.values(), key=lambda head: head.epoch)
     holders = [address for address, head in heads.items() if head == newest]
     sources = _list_sources(instance, links, holders[:MAX_BODY_PEERS])
@@ -220,10 +220,10 @@
 async def run_adoption(instance: Instance, links: PeerLinks) -> None:
     """Adopt announced heads immediately, and poll the platform periodically."""
     failures = 0
-    is_heard = False
+    is_announced = False
     while True:
-        if not is_heard or not await adopt_from_announcer(instance, links):
+        if not is_announced or not await adopt_from_announcer(instance, links):
             has_answered = await poll_platform(instance, links)
             failures = 0 if has_answered else failures + 1
         delay = choose_poll_delay(failures=failures, generator=instance.generator)
-        is_heard = await _wait_for_announcement(instance, delay)
+        is_announced = await _wait_for_announcement(instance, delay)
--- a/packages/instance/fulmarward/configuration/_apply.py
+++ b/packages/instance/fulmarward/configuration/_apply.py
@@ -102,7 +102,9 @@
             await _adopt_own(instance, outcome.head, split.bodies)
         if not isinstance(outcome, _Fenced):
             return outcome
-    return _make_outage_failure("Concurrent writes won each time; nothing was applied.")
+    return _make_outage_failure(
+        "Other writes came first each time; nothing was applied."
+    )
 
 
 async def _adopt_own(
@@ -240,7 +242,7 @@
         await asyncio.sleep(SETTLE_DELAY_S)
     return make_failure(
         ResultCode.APPLY_UNKNOWN,
-        f"The platform's reply was lost: {fence.detail}.",
+        f"The platform lost its reply: {fence.detail}.",
         retry_after_ms=RETRY_AFTER_MS,
     )
 
