--- a/packages/instance/fulmarward/_daemon.py
+++ b/packages/instance/fulmarward/_daemon.py
@@ -24,9 +24,9 @@
     run_readiness,
 )
 from fulmarward.health import (
-    answer_health,
     answer_leaving,
     answer_leaving_sync,
+    answer_summaries,
     run_gossip,
     run_summaries,
     watch_drains,
@@ -34,9 +34,9 @@
 from fulmarward.keys import (
     answer_forwarded_call,
     answer_forwarded_completion,
-    answer_note,
     answer_record,
     answer_takeover,
+    answer_update,
     sweep_claims,
 )
 from fulmarward.membership import (
@@ -181,14 +181,14 @@
         ShareDemand: answer_demand,
         LeavingUpdate: answer_leaving,
         LeavingSync: answer_leaving_sync,
-        SummaryExchange: answer_health,
+        SummaryExchange: answer_summaries,
         OutcomesRequest: answer_outcomes,
         InFlightRequest: answer_in_flight,
         ForwardCompletion: answer_forwarded_completion,
         ForwardCall: answer_forwarded_call,
         RecordAttempt: answer_record,
         TakeKey: answer_takeover,
-        UpdateKeyRecord: answer_note,
+        UpdateKeyRecord: answer_update,
     }
 
     def bind(answer):  # noqa: ANN001, ANN202
--- a/packages/instance/fulmarward/health/__init__.py
+++ b/packages/instance/fulmarward/health/__init__.py
@@ -2,9 +2,9 @@
 
 from fulmarward.health._drains import change_drain, read_drains, watch_drains
 from fulmarward.health._gossip import (
-    answer_health,
     answer_leaving,
     answer_leaving_sync,
+    answer_summaries,
     run_gossip,
 )
 from fulmarward.health._leaving import (
@@ -18,7 +18,7 @@
 from fulmarward.health._summaries import run_summaries
 
 __all__ = [
-    "answer_health",
+    "answer_summaries",
     "answer_leaving",
     "answer_leaving_sync",
     "change_drain",
--- a/packages/instance/fulmarward/health/_gossip.py
+++ b/packages/instance/fulmarward/health/_gossip.py
@@ -49,15 +49,15 @@
     return LeavingSync(records=tuple(instance.leaving.records.values()))
 
 
-async def answer_health(
+async def answer_summaries(
     instance: Instance, peer: Member, message: SummaryExchange
 ) -> SummaryExchange:
     """Merge a peer's summaries and answer with those that it lacks."""
     merge_summaries(instance, peer.name, message.summaries)
-    return _make_health_message(instance, peer.name)
+    return _make_summary_exchange(instance, peer.name)
 
 
-def _make_health_message(instance: Instance, peer: str) -> SummaryExchange:
+def _make_summary_exchange(instance: Instance, peer: str) -> SummaryExchange:
     return SummaryExchange(
         digest=compute_leaving_digest(instance.leaving),
         summaries=take_unsent(instance, peer),
@@ -68,7 +68,7 @@
     """Exchange summaries, and leaving records if they differ, with a neighbour."""
     address = instance.members.members[name].peer_address
     try:
-        own = _make_health_message(instance, name)
+        own = _make_summary_exchange(instance, name)
         theirs = await links.call(address, own, ANSWER_TIMEOUT_S)
         merge_summaries(instance, name, theirs.summaries)
         if theirs.digest == compute_leaving_digest(instance.leaving):
--- a/packages/instance/fulmarward/keys/__init__.py
+++ b/packages/instance/fulmarward/keys/__init__.py
@@ -12,11 +12,11 @@
     read_key,
 )
 from fulmarward.keys._relay import answer_forwarded_completion, open_relayed
-from fulmarward.keys._witness import answer_note, answer_record, answer_takeover
+from fulmarward.keys._witness import answer_record, answer_takeover, answer_update
 
 __all__ = [
     "PendingClaim",
-    "answer_note",
+    "answer_update",
     "answer_record",
     "answer_takeover",
     "claim_caller_key",
--- a/packages/instance/fulmarward/keys/_calls.py
+++ b/packages/instance/fulmarward/keys/_calls.py
@@ -13,7 +13,7 @@
     HOME_TIMEOUT_S,
 )
 from fulmarward.keys._takeover import take_key_over
-from fulmarward.keys._witness import check_boot, send_note
+from fulmarward.keys._witness import check_boot, send_update
 from fulmarward.observability import log_event
 from fulmarward.peers import (
     AnswerPart,
@@ -111,10 +111,10 @@
     instance: Instance, key: IssuedKey, outcome: ResultCopy | Failure
 ) -> None:
     if isinstance(outcome, Failure):
-        await send_note(instance, key, RecordStep.END, failure=outcome)
+        await send_update(instance, key, RecordStep.END, failure=outcome)
         return
     copy = outcome if len(outcome.body) <= MAX_COPY_BYTES else None
-    await send_note(instance, key, RecordStep.END, answer=copy)
+    await send_update(instance, key, RecordStep.END, answer=copy)
 
 
 def make_call_end(request: str, outcome: ResultCopy | Failure) -> CallEnd:
--- a/packages/instance/fulmarward/keys/_claims.py
+++ b/packages/instance/fulmarward/keys/_claims.py
@@ -95,7 +95,7 @@
     _cache_claim(instance, row_key, outcome)
     found = read_key(instance, team, outcome.issued_key)
     if not isinstance(found, IssuedKey):
-        detail = "The key's row was sealed with a secret that is no longer known."
+        detail = "The key's row was sealed with a secret that is gone."
         return make_failure(ResultCode.OUTCOME_UNKNOWN, detail)
     return found
 
@@ -119,7 +119,7 @@
 ) -> ClaimRow | Failure:
     pending = _make_pending(instance, team, row_key, body_hash)
     if len(instance.waiting_claims) >= MAX_WAITING_CLAIMS:
-        return _refuse(instance, pending, "too many pending claims")
+        return _refuse(instance, pending, "too many claims wait")
     instance.waiting_claims.append(pending)
     if instance.claim_writer is None or instance.claim_writer.done():
         instance.claim_writer = asyncio.create_task(_write_waiting(instance))
@@ -168,7 +168,7 @@
         finally:
             for pending in claims:
                 if not pending.outcome.done():
-                    failure = _refuse(instance, pending, "no reply from the platform")
+                    failure = _refuse(instance, pending, "no word from the platform")
                     pending.outcome.set_result(failure)
 
 
--- a/packages/instance/fulmarward/keys/_home.py
+++ b/packages/instance/fulmarward/keys/_home.py
@@ -4,7 +4,7 @@
 
 from fulmarward._instance import Instance
 from fulmarward.answers import Answer
-from fulmarward.keys._witness import request_record, send_note
+from fulmarward.keys._witness import request_record, send_update
 from fulmarward.observability import log_event
 from fulmarward.requests import CompletionRequest, ConfirmDispatch, run_completion
 from fulmarward_core.keys import (
@@ -29,9 +29,9 @@
 
 #: Seconds after the first token until the witness is notified of it. Saves a message
 #: for each short answer, whose end is reported anyway.
-BEGIN_NOTE_DELAY_S = 0.25
+BEGIN_REPORT_DELAY_S = 0.25
 
-#: Requests to the witness for one attempt.
+#: Maximum requests to the witness to confirm one attempt.
 MAX_CONFIRMATION_TRIES = 3
 
 #: Milliseconds after which a caller may retry.
@@ -231,7 +231,7 @@
         watching.cancel()
         if not answer.readers:
             instance.answers.pop(work.request, None)
-    await send_note(instance, key, RecordStep.END, failure=answer.failure)
+    await send_update(instance, key, RecordStep.END, failure=answer.failure)
 
 
 async def _report_begin(instance: Instance, key: IssuedKey, answer: Answer) -> None:
@@ -244,5 +244,5 @@
         if answer.is_over:
             return
         await answer.changed.wait()
-    await asyncio.sleep(BEGIN_NOTE_DELAY_S)
-    await send_note(instance, key, RecordStep.BEGIN)
+    await asyncio.sleep(BEGIN_REPORT_DELAY_S)
+    await send_update(instance, key, RecordStep.BEGIN)
--- a/packages/instance/fulmarward/keys/_relay.py
+++ b/packages/instance/fulmarward/keys/_relay.py
@@ -43,9 +43,7 @@
         raise InvalidMessageError("expected a key of this instance")
     pipeline = instance.snapshot.declaration.pipelines.get(message.pipeline)
     if pipeline is None:
-        failure = make_failure(
-            ResultCode.KEY_NOT_ASKED, "The home does not know this pipeline yet."
-        )
+        failure = make_failure(ResultCode.KEY_NOT_ASKED, "The home lags behind.")
         yield AnswerEnd(end="", failure=failure)
         return
     work = CompletionRequest(
--- a/packages/instance/fulmarward/keys/_takeover.py
+++ b/packages/instance/fulmarward/keys/_takeover.py
@@ -4,7 +4,7 @@
 
 from fulmarward._instance import Instance
 from fulmarward.answers import Answer
-from fulmarward.keys._witness import request_takeover, send_note
+from fulmarward.keys._witness import request_takeover, send_update
 from fulmarward.observability import log_event
 from fulmarward.peers import TakeKeyReply
 from fulmarward.requests import CompletionRequest, make_locator, make_reader_name
@@ -29,7 +29,7 @@
 from fulmarward_core.streams import Stage
 
 #: Times that a broken connection to a running stream is reopened.
-MAX_RECONNECTS = 3
+MAX_REATTACHES = 3
 
 _CONCLUSION_CODES = {
     Conclusion.NOT_RUN: ResultCode.KEY_CLOSED,
@@ -124,7 +124,7 @@
         "streams_closed", request=record.request, replies=replies, result=code.value
     )
     if code is ResultCode.KEY_CLOSED:
-        await send_note(instance, key, RecordStep.CLOSE)
+        await send_update(instance, key, RecordStep.CLOSE)
     return make_failure(code)
 
 
@@ -136,7 +136,7 @@
     place: AttemptPlace,
 ) -> str:
     """Copy an attempt's stream into the answer; return its end, empty without one."""
-    for _ in range(MAX_RECONNECTS + 1):
+    for _ in range(MAX_REATTACHES + 1):
         stream = await resume_stream(
             instance.session,
             place.address,
@@ -154,7 +154,7 @@
                 stages = (Stage(target=place.target, layers=(0, layers)),)
                 locator = make_locator(instance, work, place.attempt, stages)
                 answer.set_locator(locator)
-                await send_note(instance, key, RecordStep.BEGIN)
+                await send_update(instance, key, RecordStep.BEGIN)
             end = await _copy_events(answer, stream)
             if end:
                 return end
--- a/packages/instance/fulmarward/keys/_witness.py
+++ b/packages/instance/fulmarward/keys/_witness.py
@@ -29,7 +29,7 @@
 #: Seconds that a witness has to reply. A request waits this long for a lost witness
 #: before its caller is told "not run". The round trip between instances takes
 #: milliseconds; a longer timeout would only wait for paused instances.
-REPLY_TIMEOUT_S = 1.0
+ANSWER_TIMEOUT_S = 1.0
 
 #: Seconds added to the age of a record, since the clocks of instance and engine may run
 #: at different rates. An engine that started shortly before the record then counts as
@@ -89,7 +89,7 @@
     return TakeKeyReply(record=record, age_s=age_s + AGE_MARGIN_S)
 
 
-async def answer_note(
+async def answer_update(
     instance: Instance, peer: Member, message: UpdateKeyRecord
 ) -> Ack:
     """Record the progress or outcome of a request in the witness table."""
@@ -111,7 +111,7 @@
 _HANDLERS = {
     RecordAttempt: answer_record,
     TakeKey: answer_takeover,
-    UpdateKeyRecord: answer_note,
+    UpdateKeyRecord: answer_update,
 }
 
 
@@ -127,7 +127,7 @@
     if address is None or instance.links is None:
         return None
     try:
-        return await instance.links.call(address, message, REPLY_TIMEOUT_S)
+        return await instance.links.call(address, message, ANSWER_TIMEOUT_S)
     except PeerLost as lost:
         log_event("witness_lost", witness=witness.name, reason=str(lost))
         return None
@@ -172,7 +172,7 @@
     return answer or _NO_RECORD
 
 
-async def send_note(
+async def send_update(
     instance: Instance,
     key: IssuedKey,
     step: RecordStep,
