--- a/packages/instance/fulmarward/requests/_chain.py
+++ b/packages/instance/fulmarward/requests/_chain.py
@@ -76,9 +76,7 @@
     """
     layers = work.snapshot.declaration.models[work.pipeline.model].layers
     if not covers_layers(stages, layers=layers):
-        return make_failure(
-            ResultCode.STREAM_LOST, "The layers of the model have changed."
-        )
+        return make_failure(ResultCode.STREAM_LOST, "The model has other layers now.")
     term = int(instance.read_wall_clock() * 1000)
     attempt = ChainProgress(number=number, stages=stages, term=term)
     return await _drive(instance, work, answer, attempt, None)
@@ -188,7 +186,7 @@
     if isinstance(found, StreamBroken):
         found = await run.calls.read_steps(last, -1)
     if not isinstance(found, tuple) or not found:
-        return make_stage_lost(run, last, "the last stage has no cache")
+        return make_stage_lost(run, last, "the last stage's cache is gone")
     return _append_steps(instance, work, answer, attempt, run, found)
 
 
--- a/packages/instance/fulmarward/requests/_chain_calls.py
+++ b/packages/instance/fulmarward/requests/_chain_calls.py
@@ -79,7 +79,7 @@
     ) -> StepDone | StepRefused | StreamBroken:
         address = find_address(instance, stage)
         if address is None:
-            return StepRefused(error="the target is no longer declared")
+            return StepRefused(error="declared no more")
         began = instance.read_clock()
         outcome = await run_step(instance.session, address, step_request)
         if isinstance(outcome, StepDone) and step_request.position > 0:
--- a/packages/instance/fulmarward/requests/_chain_end.py
+++ b/packages/instance/fulmarward/requests/_chain_end.py
@@ -89,7 +89,7 @@
         view.avoided_until = instance.read_clock() + AVOID_STAGE_S
     states = await close_chain(instance, work, attempt)
     if lost.is_closed or "driven" in states:
-        detail = "Another instance continues the request."
+        detail = "Another instance goes on with it."
         return make_failure(ResultCode.STREAM_LOST, detail)
     if lost.detail == DIFFERS:
         return make_failure(ResultCode.STREAM_LOST, DIFFERS_DETAIL)
--- a/packages/instance/fulmarward/requests/_drive.py
+++ b/packages/instance/fulmarward/requests/_drive.py
@@ -20,9 +20,9 @@
 )
 from fulmarward_core.streams import Stage
 
-#: Number of reads of a step's result that may go unanswered before the stage counts
-#: as lost. The limit keeps a dead stage from holding its callers. The first read
-#: recovers a lost reply, and the second covers a lost connection.
+#: Number of unanswered reads of a step's result at which the stage counts as lost. The
+#: limit keeps a dead stage from holding its callers. The first read recovers a lost
+#: reply, and the second covers a lost connection.
 MAX_UNANSWERED = 2
 
 #: Maximum tries of one step. Guards against a stage that answers reads but never
--- a/packages/instance/fulmarward/requests/_move.py
+++ b/packages/instance/fulmarward/requests/_move.py
@@ -40,7 +40,7 @@
     for place, outcome in ((moved, moved), (stage, None)):
         if await _import_cache_at(instance, place, cache, request, attempt):
             return outcome
-    return StreamBroken(detail="the KV cache was lost during its migration")
+    return StreamBroken(detail="the cache was lost while it moved")
 
 
 async def _import_cache_at(
--- a/packages/instance/fulmarward/requests/_progress.py
+++ b/packages/instance/fulmarward/requests/_progress.py
@@ -13,7 +13,7 @@
 DIFFERS = "differs"
 
 #: The failure message for `DIFFERS`.
-DIFFERS_DETAIL = "A new attempt gave an answer that differs from the part sent."
+DIFFERS_DETAIL = "A new attempt gave another answer than the part that was sent."
 
 
 @dataclass(kw_only=True)
--- a/packages/instance/fulmarward/requests/_resume.py
+++ b/packages/instance/fulmarward/requests/_resume.py
@@ -74,5 +74,5 @@
         )
     view = find_view(instance, locator.stages[0].target)
     if view is None:
-        return make_failure(ResultCode.STREAM_LOST, "The target is no longer declared.")
+        return make_failure(ResultCode.STREAM_LOST, "The target is declared no more.")
     return await attach_attempt(instance, work, answer, locator.attempt, view)
--- a/packages/instance/fulmarward/requests/_route.py
+++ b/packages/instance/fulmarward/requests/_route.py
@@ -40,7 +40,7 @@
     ]
 
 
-def _make_ask(
+def _make_profile(
     instance: Instance, work: CompletionRequest, tried: frozenset[str]
 ) -> RequestProfile:
     outputs = instance.admission.outputs.get(work.pipeline_name, OutputLengths())
@@ -68,7 +68,7 @@
         data_centre=instance.settings.data_centre,
         now=instance.read_clock(),
         generator=instance.generator,
-        profile=_make_ask(instance, work, tried),
+        profile=_make_profile(instance, work, tried),
     )
     reason = choice.reason if choice else "no_open_target"
     instance.metrics.decisions.inc({"kind": "route", "reason": reason})
--- a/packages/instance/fulmarward/targets/_engine.py
+++ b/packages/instance/fulmarward/targets/_engine.py
@@ -123,7 +123,7 @@
     except (aiohttp.ClientError, TimeoutError, ValueError, KeyError) as error:
         return StreamBroken(detail=type(error).__name__)
     if detail == "exists":
-        return StreamBroken(detail="the stream already exists")
+        return StreamBroken(detail="the stream exists already")
     return StreamRefused(detail=detail, is_unreachable=False)
 
 
