--- a/packages/client/fulmarctl/_commands.py
+++ b/packages/client/fulmarctl/_commands.py
@@ -84,7 +84,8 @@
         """Apply the declaration in FILE as a whole and wait until it is in force.
 
         BASE_EPOCH is the epoch that FILE is based on, by default the one in force. If
-        another file was applied since, nothing is changed and its author is named.
+        another file was applied since, nothing is changed and that file's operator is
+        named.
         WAIT_S is how long to wait for every instance to confirm; 0 does not wait.
         """
         fleet = load_fleet(self._path)
--- a/packages/instance/fulmarward/_instance.py
+++ b/packages/instance/fulmarward/_instance.py
@@ -92,7 +92,7 @@
     known_epoch: int = 0
     #: Set when a newer epoch becomes known.
     newer_epoch_known: asyncio.Event = field(default_factory=asyncio.Event)
-    #: Address of the peer that reported it; empty if it was not a peer.
+    #: Address of the peer that announced it; empty if it was not a peer.
     epoch_source: str = ""
     #: The clock by which pauses are detected.
     read_pause_clock: Callable[[], float] = read_pause_clock
@@ -127,7 +127,8 @@
     summary_versions: dict[PoolKey, int] = field(default_factory=dict)
     summaries_sent: dict[str, dict[PoolKey, int]] = field(default_factory=dict)
 
-    #: Claims of generated keys to be written to the platform, and the writing task.
+    #: Claims of caller-generated keys to be written to the platform, and the writing
+    #: task.
     waiting_claims: "list[PendingClaim]" = field(default_factory=list)
     claim_writer: asyncio.Task | None = None
     #: Recently seen claims of the platform's table, by row.
@@ -138,7 +139,7 @@
     key_table: KeyTable = field(default_factory=KeyTable)
     #: Idempotency keys for which this instance is the witness.
     witness_table: WitnessTable = field(default_factory=WitnessTable)
-    #: Waiting and running requests, and the remaining share of each team.
+    #: Queued and running requests, and the token buckets of teams.
     admission: AdmissionState = field(default_factory=AdmissionState)
 
     def keep_task(self, task: asyncio.Task) -> None:
--- a/packages/instance/fulmarward/membership/_heartbeats.py
+++ b/packages/instance/fulmarward/membership/_heartbeats.py
@@ -110,8 +110,8 @@
 async def _wait_for_heartbeat(instance: Instance, name: str, misses: int) -> None:
     """Wait until the next heartbeat is due or an update is urgent.
 
-    After the first missed heartbeat the next one is sent at once: until a failure is
-    detected, callers are still sent to the failed instance.
+    After the first missed heartbeat the next one is sent as soon as `MIN_INTERVAL_S`
+    allows: until a failure is detected, callers are still sent to the failed instance.
     """
     urgent_update = instance.urgent_update
     seconds = choose_heartbeat(_list_neighbours(instance), name)
--- a/packages/instance/fulmarward/membership/_sync.py
+++ b/packages/instance/fulmarward/membership/_sync.py
@@ -91,12 +91,12 @@
     """Periodically try to contact a seed, listed or formerly known instance."""
     while True:
         await asyncio.sleep(CONTACT_INTERVAL_S * instance.generator.uniform(0.5, 1.5))
-        strangers = list_unconnected_addresses(
+        addresses = list_unconnected_addresses(
             instance.members, instance.settings.seed_peers
         )
-        if not strangers:
+        if not addresses:
             continue
-        address = instance.generator.choice(strangers)
+        address = instance.generator.choice(addresses)
         member = await _contact(instance, links, address)
         if member is None or member.name not in select_neighbours(instance.members):
             await links.drop(address)
--- a/packages/instance/fulmarward/peers/_messages.py
+++ b/packages/instance/fulmarward/peers/_messages.py
@@ -272,7 +272,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AnswerPart:
-    """The next events of an answer, or none as a keep-alive."""
+    """The next events of an answer, or none as a heartbeat of the home."""
 
     #: Id of the request.
     request: str
--- a/packages/instance/fulmarward/platform/_adapter.py
+++ b/packages/instance/fulmarward/platform/_adapter.py
@@ -55,7 +55,7 @@
     #: Timeout of one call in seconds.
     timeout_s: float
     #: Rate limit and circuit breaker for calls.
-    gate: CallLimiter = field(default_factory=CallLimiter)
+    limiter: CallLimiter = field(default_factory=CallLimiter)
     #: Returns the number of instances that share the platform.
     count_instances: Callable[[], int] = lambda: 1
     #: The monotonic clock, and the random generator for delays.
@@ -168,7 +168,7 @@
     """Call the platform within this instance's rate limit and the circuit breaker."""
     kind = CallKind.READ if method == "GET" else CallKind.WRITE
     verdict = admit_call(
-        platform.gate,
+        platform.limiter,
         kind,
         instances=platform.count_instances(),
         is_for_operator=_IS_FOR_OPERATOR.get(),
@@ -180,10 +180,10 @@
     async with platform.call_slots:
         outcome = await _send(platform, method, path, **options)
     if isinstance(outcome, _Reply):
-        record_success(platform.gate)
+        record_success(platform.limiter)
     else:
         now = platform.read_clock()
-        record_failure(platform.gate, now=now, generator=platform.generator)
+        record_failure(platform.limiter, now=now, generator=platform.generator)
     return outcome
 
 
@@ -223,7 +223,7 @@
     return _Reply(status=response.status, body=body, json=value)
 
 
-def _to_platform_out(outcome: PlatformUnavailable | Uncertain) -> PlatformUnavailable:
+def _to_unavailable(outcome: PlatformUnavailable | Uncertain) -> PlatformUnavailable:
     return PlatformUnavailable(detail=outcome.detail)
 
 
@@ -233,7 +233,7 @@
     """Return a row, with version 0 if it is absent."""
     reply = await _call(platform, "GET", f"/tables/{table}/{key}")
     if not isinstance(reply, _Reply):
-        return _to_platform_out(reply)
+        return _to_unavailable(reply)
     return Row(key=key, version=reply.json["version"], value=reply.json["value"])
 
 
@@ -243,7 +243,7 @@
     """Return the rows of a table whose keys begin with `prefix`, sorted by key."""
     reply = await _call(platform, "GET", f"/tables/{table}", params={"prefix": prefix})
     if not isinstance(reply, _Reply):
-        return _to_platform_out(reply)
+        return _to_unavailable(reply)
     return tuple(Row(**row) for row in reply.json["rows"])
 
 
@@ -279,7 +279,7 @@
     """Return the bytes under `key`."""
     reply = await _call(platform, "GET", f"/objects/{key}", expected=(200, 404))
     if not isinstance(reply, _Reply):
-        return _to_platform_out(reply)
+        return _to_unavailable(reply)
     return Absent() if reply.status == 404 else reply.body
 
 
@@ -289,7 +289,7 @@
     """Return the platform's list of live and leaving instances and targets."""
     reply = await _call(platform, "GET", "/instances")
     if not isinstance(reply, _Reply):
-        return _to_platform_out(reply)
+        return _to_unavailable(reply)
     return tuple(
         PlatformMember(
             name=entry["name"],
--- a/packages/instance/fulmarward/settings/_types.py
+++ b/packages/instance/fulmarward/settings/_types.py
@@ -22,7 +22,8 @@
     #: Milliseconds for a request body to arrive, so that slow senders don't pile up.
     body_ms: int = 10_000
     #: Maximum number of open requests: ten times the load of 24 requests/s for each of
-    #: 330 instances, with answers of some seconds. More could take over 256 MB.
+    #: 330 instances, with answers of some seconds. More could need over 256 MB of
+    #: memory.
     open_requests: int = 2_000
     #: Milliseconds for which an answer without readers waits for its caller.
     linger_ms: int = 5_000
@@ -43,8 +44,8 @@
     order_ms: int = 5_000
     #: Milliseconds for which callers cache a discovery answer.
     discovery_ms: int = 5_000
-    #: Milliseconds for which an idempotency key identifies its request. It has to
-    #: outlast any caller's retries; an entry is kept for each key this long.
+    #: Milliseconds for which an idempotency key is accepted for a new request. This
+    #: outlasts any caller's retries; an entry is kept for each key at least this long.
     key_ms: int = 600_000
 
 
