--- a/packages/instance/fulmarward/placement/_pool.py
+++ b/packages/instance/fulmarward/placement/_pool.py
@@ -111,7 +111,7 @@
     A paused predecessor may have an order still in flight. An engine that checks
     fencing numbers refuses it once it has applied an order of this holder. An engine
     that ignores them applies it, so no order is sent before the longest flight time
-    (`order_ms`) is over, and the engine's state is polled continuously after that.
+    (`order_ms`) is over, and the engine's state is polled repeatedly after that.
     """
     limits = instance.settings.limits
     targets = instance.snapshot.declaration.targets
