--- a/packages/router/fulmarward_router/_processor.py
+++ b/packages/router/fulmarward_router/_processor.py
@@ -14,7 +14,7 @@
 #: Seconds between two log lines with the totals of the subsystems.
 LOG_INTERVAL_S = 10.0
 
-#: Account of tasks outside of every subsystem, such as those that libraries start.
+#: Subsystem of all tasks that belong to no other, such as those that libraries start.
 OTHER = "other"
 
 _SUBSYSTEM: ContextVar[str] = ContextVar("subsystem", default=OTHER)
--- a/packages/router/fulmarward_router/daemon.py
+++ b/packages/router/fulmarward_router/daemon.py
@@ -258,11 +258,11 @@
             count_routing_instances=self.listing.count_listed,
             read_clock=clock,
         )
-        self.front = self._make_front(
+        self.caller_handler = self._make_caller_handler(
             TargetClient(session=target_session, dialect=self.dialect)
         )
 
-    def _make_front(self, client: TargetClient) -> CallerHandler:
+    def _make_caller_handler(self, client: TargetClient) -> CallerHandler:
         context = ServiceContext(
             client=client,
             dialect=self.dialect,
@@ -303,7 +303,7 @@
             ),
         )
 
-    def _make_pace_watch(self) -> PaceMonitor:
+    def _make_pace_monitor(self) -> PaceMonitor:
         return PaceMonitor(
             dialect=self.dialect,
             catalogue=self.catalogue,
@@ -388,7 +388,7 @@
             self._start("lease", self.lease.run()),
             self._start("placement", self.placer.run()),
             self._start("streams", self.engines.supervisor.run()),
-            self._start("paces", self._make_pace_watch().run()),
+            self._start("paces", self._make_pace_monitor().run()),
             self._start("occupancy", self._read_occupancy()),
             self._start("losses", self.failure_detector.run()),
             self._start("readiness", self._become_ready()),
@@ -424,14 +424,14 @@
             ),
             describe=lambda: describe_status(self, now=self._clock()),
         )
-        front = CallerServer(
-            self.front.handle,
-            read_idle_timeout_s=self.front.read_idle_timeout_s,
+        caller_server = CallerServer(
+            self.caller_handler.handle,
+            read_idle_timeout_s=self.caller_handler.read_idle_timeout_s,
             max_header_bytes=MAX_HEADER_BYTES,
         )
         ready = make_ready_handler(is_ready=self.is_ready)
         handlers = [
-            ("requests", settings.caller_address, front),
+            ("requests", settings.caller_address, caller_server),
             ("readiness", settings.ready_address, ready),
             ("lookup", settings.lookup_address, lookup),
             ("metrics", settings.metrics_address, operator),
@@ -489,7 +489,7 @@
         grace_s = self.settings.grace_s
         self.life.begin_stop()
         self._notify_peers()
-        log_event("stopping", open_requests=self.front.open_requests.total())
+        log_event("stopping", open_requests=self.caller_handler.open_requests.total())
         withdrawal = asyncio.create_task(self.rows.withdraw())
         while True:
             await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
@@ -499,14 +499,14 @@
                 and self.life.accepts_streams
             ):
                 self.life.refuse_streams()
-            is_idle = self.front.open_requests.total() == 0
+            is_idle = self.caller_handler.open_requests.total() == 0
             if is_idle and elapsed_s >= min(MIN_DRAIN_DURATION_S, grace_s / 2):
                 break
             if elapsed_s >= grace_s * FORCED_EXIT_FRACTION:
                 break
         withdrawal.cancel()
         self.life.finish_stop()
-        log_event("stop_ends", cut=self.front.open_requests.total())
+        log_event("stop_ends", cut=self.caller_handler.open_requests.total())
 
     def _start(self, name: str, coroutine: Coroutine[None, None, None]) -> asyncio.Task:
         """Start a background task; if it fails, the instance stops."""
--- a/packages/router/fulmarward_router/exchange/_admission.py
+++ b/packages/router/fulmarward_router/exchange/_admission.py
@@ -120,8 +120,10 @@
         self, state: RequestState, engine: EngineModel, wanted: PathRequest
     ) -> float:
         """Return the retry delay for a request that a target refused."""
-        has_room = self._finder.choose(state.service, engine, wanted) is not None
-        return REFUSED_RETRY_S if has_room else choose_retry_after_s(random.random())
+        has_capacity = self._finder.choose(state.service, engine, wanted) is not None
+        return (
+            REFUSED_RETRY_S if has_capacity else choose_retry_after_s(random.random())
+        )
 
     def _choose_path(
         self,
@@ -130,7 +132,7 @@
         wanted: PathRequest,
         wait_class: WaitClass,
     ) -> tuple[Hop, ...] | Shortage:
-        """Return the best path, within one data centre if the link between is full."""
+        """Return the best path, or one within a data centre if the pipe is full."""
         wanted = replace(wanted, kv_share=find_kv_share(wait_class))
         path = self._finder.choose(state.service, engine, wanted)
         if path is None:
--- a/packages/router/fulmarward_router/exchange/_attempt.py
+++ b/packages/router/fulmarward_router/exchange/_attempt.py
@@ -37,7 +37,8 @@
         self.check_task: asyncio.Task | None = None
         #: When the stream last showed activity, in seconds on the monotonic clock.
         self.last_activity_at = 0.0
-        #: When data last arrived, in seconds on the monotonic clock.
+        #: When data last arrived, in seconds on the monotonic clock; minus infinity
+        #: before the first.
         self.last_event_at = float("-inf")
         self.checks = 0
         self.has_begun = False
--- a/packages/router/fulmarward_router/exchange/_engines.py
+++ b/packages/router/fulmarward_router/exchange/_engines.py
@@ -291,7 +291,7 @@
                 return
         now = self._read_clock()
         self._suspicions.record_saturated(at_fault, now=now)
-        if self._finder.has_room(at_fault, attempt.engine):
+        if self._finder.has_capacity(at_fault, attempt.engine):
             if self._suspicions.refusals.record_refusal(at_fault, now=now):
                 log_event("target_refusing", target=at_fault, status=status)
         if is_elsewhere and status == 503 and not is_stalled:
--- a/packages/router/fulmarward_router/exchange/_path_finder.py
+++ b/packages/router/fulmarward_router/exchange/_path_finder.py
@@ -160,8 +160,8 @@
             excluded |= {n for n in targets.names if refusals.is_refusing(n, now=now)}
         return excluded
 
-    def has_room(self, target: str, engine: EngineModel) -> bool:
-        """Return whether a target clearly has capacity, judging by the ledger."""
+    def has_capacity(self, target: str, engine: EngineModel) -> bool:
+        """Return whether a target clearly has capacity left, by the ledger."""
         record = self._catalogue.find_target(target)
         if record is None or record.layers is None or record.kind not in engine.kinds:
             return False
--- a/packages/router/fulmarward_router/exchange/_plain.py
+++ b/packages/router/fulmarward_router/exchange/_plain.py
@@ -141,10 +141,10 @@
         def compute_score(record: TargetRecord) -> float:
             load = loads.get(record.name)
             load_factor = (load.running if load else 0) / max(1, record.slots)
-            is_far = record.data_centre != self._context.data_centre
+            is_remote = record.data_centre != self._context.data_centre
             return (
                 load_factor
-                + REMOTE_PENALTY * is_far
+                + REMOTE_PENALTY * is_remote
                 + 1.0 * (record.remaining_warmup_s > 0)
             )
 
--- a/packages/router/fulmarward_router/exchange/tests/test_caller_handler.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_caller_handler.py
@@ -34,7 +34,7 @@
 class UnknownRouteTest(unittest.IsolatedAsyncioTestCase):
     async def request_status(self, configuration):
         """Return the status of a request for an unknown route."""
-        front = CallerHandler(
+        handler = CallerHandler(
             dialect=_Dialect(),
             configuration=configuration,
             engines=SimpleNamespace(),
@@ -45,7 +45,7 @@
             accepts_streams=lambda: True,
             observe=lambda state, outcome, took_s: None,
         )
-        async with RawTestServer(front.handle) as server:
+        async with RawTestServer(handler.handle) as server:
             async with aiohttp.ClientSession() as session:
                 async with session.get(server.make_url("/nowhere")) as answer:
                     return answer.status
--- a/packages/router/fulmarward_router/exchange/tests/test_request_state.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_request_state.py
@@ -4,7 +4,7 @@
 from fulmarward_router.exchange import RequestState
 
 
-def _make_work():
+def _make_state():
     route = Route(
         name="r",
         host="h",
@@ -39,7 +39,7 @@
         # Guards against a logged pause that is too short. The stream stalls for 0.2 s,
         # is rerouted around a killed target and continues 0.3 s later; if the reroute
         # restarted the measurement, only 0.3 s would be logged.
-        state = _make_work()
+        state = _make_state()
         for now in (1.0, 1.04, 1.08, 1.58, 1.62):
             state.record_write(now=now)
         self.assertAlmostEqual(state.longest_pause_s, 0.5)
--- a/packages/router/fulmarward_router/mesh/_heartbeats.py
+++ b/packages/router/fulmarward_router/mesh/_heartbeats.py
@@ -30,8 +30,8 @@
 #: Well below the high-water mark of the write buffer, so that a round never blocks.
 MAX_UNSENT_BYTES = 1 << 13
 
-#: Minimum seconds between two pings of a link, as a peer may send nothing else on it,
-#: and seconds after which a link with an unanswered ping is aborted.
+#: Minimum seconds between two pings of a link, on which a peer may send nothing but the
+#: pongs, and seconds after which a link with an unanswered ping is aborted.
 PING_INTERVAL_S = 0.6
 PING_TIMEOUT_S = 1.0
 
@@ -290,10 +290,12 @@
         return self._target_changes[after]
 
     def _encode_fleet_report(self, known: Revisions) -> tuple[bytes, Revisions]:
-        """Return the encoded report since some revisions, and the new revisions."""
+        """Return the encoded report of what changed after the revisions `known`, and
+        the revisions that a subscriber has after it.
+        """
         if known not in self._fleet_reports:
-            report, now_reported = self._state.make_fleet_report(known)
-            self._fleet_reports[known] = self._encode(report), now_reported
+            report, revisions = self._state.make_fleet_report(known)
+            self._fleet_reports[known] = self._encode(report), revisions
         return self._fleet_reports[known]
 
     def _encode_data_centre_report(self, data_centre: str) -> bytes:
--- a/packages/router/fulmarward_router/mesh/_members.py
+++ b/packages/router/fulmarward_router/mesh/_members.py
@@ -531,7 +531,10 @@
         )
 
     def has_duty(self, name: str, *, now: float) -> bool:
-        """Return whether an instance has duties for the fleet, which hubs have."""
+        """Return whether an instance is a hub, and so has duties for a large fleet.
+
+        Readers of the store and the lease holder are chosen by name, as hubs are.
+        """
         return self.is_large and name in self._find_view(now).hubs
 
     def is_first_in_data_centre(self, *, now: float) -> bool:
--- a/packages/router/fulmarward_router/mesh/_messages.py
+++ b/packages/router/fulmarward_router/mesh/_messages.py
@@ -38,7 +38,7 @@
     target: str
     #: The factor by which it is slower, in percent.
     percent: int
-    #: Milliseconds since the target reported it.
+    #: Milliseconds since the target's report was read.
     age_ms: int
 
 
@@ -59,7 +59,7 @@
     targets_version: int
     targets_age_ms: int
     is_store_reachable: bool
-    #: Its loads, one for each target.
+    #: The loads of its requests, one for each target.
     loads: tuple[LoadReport, ...]
     #: Targets that failed to answer it.
     losses: tuple[FailureReport, ...]
--- a/packages/router/fulmarward_router/mesh/_state.py
+++ b/packages/router/fulmarward_router/mesh/_state.py
@@ -64,7 +64,7 @@
     def merge_load_update(self, update: LoadUpdate) -> None:
         """Merge the loads of a subscriber."""
 
-    def make_fleet_report(self, reported: Revisions) -> tuple[FleetReport, Revisions]:
+    def make_fleet_report(self, known: Revisions) -> tuple[FleetReport, Revisions]:
         """Return the changes of the fleet since the revisions that a subscriber has,
         and the revisions that it has after this report.
         """
--- a/packages/router/fulmarward_router/placement/_lease.py
+++ b/packages/router/fulmarward_router/placement/_lease.py
@@ -50,7 +50,7 @@
 
 #: Seconds between two checks of local state, and before the next attempt after the
 #: store did not respond.
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 OUTAGE_RETRY_DELAY_S = 1.0
 
 
@@ -73,7 +73,8 @@
         self._is_wanted = is_wanted
         #: Returns whether the store is unreachable from every instance.
         self._is_store_out = is_store_out
-        #: Returns whether the process of an instance with that boot number has ended.
+        #: Returns whether the process of an instance that started at that time (`boot`)
+        #: has ended.
         self._has_ended = has_ended
         #: Whether orders are sent under a lease that expired during a store outage.
         self._is_held_over = False
@@ -104,7 +105,7 @@
         self._is_held_over = is_held_over
         return is_held_over
 
-    def drop(self) -> None:
+    def abandon(self) -> None:
         """Stop treating this instance as the holder, and read the row again."""
         self._state = abandon_lease(self._state)
 
@@ -117,7 +118,7 @@
         now = self._read_clock()
         wanted = self._is_wanted()
         if not wanted and not self.is_held():
-            return LOOK_S
+            return CHECK_INTERVAL_S
         token = f"{self._boot:x}-{random.getrandbits(64):x}"
         lease = self._state.lease
         step = choose_step(
@@ -133,7 +134,7 @@
         event = await (
             self._read() if step.kind is StepKind.READ else self._write(step)
         )
-        self._take(event)
+        self._apply_event(event)
         if isinstance(event, StoreUnavailable | WriteLost):
             return OUTAGE_RETRY_DELAY_S * random.uniform(0.5, 1.5)
         return 0.0
@@ -141,12 +142,12 @@
     async def _wait(self, seconds: float) -> float:
         """Wait until a step is due; without the lease, also read the row meanwhile."""
         if self._state.phase is Phase.HOLDING:
-            return min(max(seconds, 0.0), LOOK_S)
+            return min(max(seconds, 0.0), CHECK_INTERVAL_S)
         await asyncio.sleep(min(max(seconds, 0.0), TERMS.term_s / 2))
-        self._take(await self._read())
+        self._apply_event(await self._read())
         return 0.0
 
-    def _take(self, event: LeaseEvent) -> None:
+    def _apply_event(self, event: LeaseEvent) -> None:
         before = self._state
         self._state = apply_event(before, TERMS, event, now=self._read_clock())
         is_new = self._state.phase is Phase.HOLDING and (
--- a/packages/router/fulmarward_router/placement/_placer.py
+++ b/packages/router/fulmarward_router/placement/_placer.py
@@ -170,7 +170,7 @@
     def _list_refusing(
         self, present: Sequence[TargetRecord], now: float
     ) -> frozenset[str]:
-        """Return the targets taken as leaving while the store cannot tell.
+        """Return the targets presumed to be leaving while the store cannot tell.
 
         Returns none if they exceed `MAX_UNANNOUNCED_SHARE`.
         """
@@ -196,8 +196,8 @@
             return
         instances = self._count_routing_instances()
         pending = {name: item.layers for name, item in self._pending.items()}
-        held = _list_layer_holders(targets, pending)
-        self._verify_reported_losses(service, engine, present, held, now)
+        holders = _list_layer_holders(targets, pending)
+        self._verify_reported_losses(service, engine, present, holders, now)
         is_empty_fleet = not pending and all(
             target.layers is None for target in targets
         )
@@ -223,7 +223,7 @@
                     order,
                     by_name[order.assignment.target],
                     engine,
-                    held,
+                    holders,
                     unreachable,
                     now,
                 )
@@ -252,7 +252,7 @@
         service: str,
         engine: EngineModel,
         present: Sequence[TargetRecord],
-        held: Sequence[_LayerHolder],
+        holders: Sequence[_LayerHolder],
         now: float,
     ) -> None:
         """Probe the targets that a peer reported unreachable, if a gap depends on them.
@@ -263,8 +263,8 @@
         to_probe = [
             record.name for record in present if self._is_reported_empty(record, now)
         ]
-        for data_centre in {item.target.data_centre for item in held}:
-            local = [item for item in held if item.target.data_centre == data_centre]
+        for data_centre in {item.target.data_centre for item in holders}:
+            local = [item for item in holders if item.target.data_centre == data_centre]
             reported = [
                 item.target.name
                 for item in local
@@ -300,13 +300,15 @@
         order: LayerOrder,
         target: TargetRecord,
         engine: EngineModel,
-        held: Sequence[_LayerHolder],
+        holders: Sequence[_LayerHolder],
         unreachable: Sequence[TargetRecord],
         now: float,
     ) -> bool:
         """Return whether the gap that an order closes has lasted long enough."""
         data_centre = target.data_centre
-        local = [item.layers for item in held if item.target.data_centre == data_centre]
+        local = [
+            item.layers for item in holders if item.target.data_centre == data_centre
+        ]
         gaps = find_gaps(engine.layers, local)
         unreachable_layers = [
             record.layers
@@ -325,8 +327,10 @@
         layers = [
             layer for gap in closed_gaps or gaps for layer in range(gap.start, gap.end)
         ]
-        oldest_at = max((since.get(layer, now) for layer in layers), default=now)
-        return now - oldest_at >= wait_s
+        all_missing_since = max(
+            (since.get(layer, now) for layer in layers), default=now
+        )
+        return now - all_missing_since >= wait_s
 
     async def _send_all(
         self, targets: Sequence[TargetRecord], orders: Sequence[LayerOrder]
@@ -389,6 +393,6 @@
         self, target: TargetRecord, assignment: Assignment, result: OrderResult
     ) -> None:
         if result.outcome is OrderOutcome.FENCED:
-            self._lease.drop()
+            self._lease.abandon()
         if result.outcome not in (OrderOutcome.TAKEN, OrderOutcome.UNKNOWN):
             self._pending.pop(target.name, None)
--- a/packages/router/fulmarward_router/placement/tests/test_placer.py
+++ b/packages/router/fulmarward_router/placement/tests/test_placer.py
@@ -59,8 +59,8 @@
     def is_held(self):
         return True
 
-    def drop(self):
-        raise AssertionError("the lease was dropped")
+    def abandon(self):
+        raise AssertionError("the lease was abandoned")
 
 
 @dataclass(frozen=True)
--- a/packages/router/fulmarward_router/state/_instance_state.py
+++ b/packages/router/fulmarward_router/state/_instance_state.py
@@ -333,21 +333,21 @@
         loads = _index_loads(update.loads)
         self._ledger.merge_report(update.sender, loads, now=self._read_clock())
 
-    def make_fleet_report(self, reported: Revisions) -> tuple[FleetReport, Revisions]:
+    def make_fleet_report(self, known: Revisions) -> tuple[FleetReport, Revisions]:
         """Return the changes of the fleet since the revisions that a subscriber has,
         and the revisions that it has after this report.
         """
         now = self._read_clock()
         heartbeat = self.make_heartbeat(has_loads=False)
         has_slow_streams = self._members.sees_slow_streams(now=now)
-        members = self._members.report_changes(after=reported.members, now=now)
-        loads = self._ledger.list_changes(after=reported.loads, now=now)
+        members = self._members.report_changes(after=known.members, now=now)
+        loads = self._ledger.list_changes(after=known.loads, now=now)
         report = FleetReport(
             heartbeat=replace(
                 heartbeat,
                 sees_slow_streams=heartbeat.sees_slow_streams or has_slow_streams,
             ),
-            is_full=reported.loads < 0,
+            is_full=known.loads < 0,
             members=members,
             ages=self._members.report_ages(now=now),
             loads=_make_load_reports(loads),
@@ -358,12 +358,12 @@
             ),
             refusing=tuple(self._suspicions.refusals.list_all(now=now)),
         )
-        now_reported = Revisions(
+        revisions = Revisions(
             members=self._members.revision,
             loads=self._ledger.revision,
             targets=self._catalogue.content_version,
         )
-        return report, now_reported
+        return report, revisions
 
     def make_target_changes(self, after: int) -> TargetChanges | None:
         """Return the changes of targets after a version, `None` if none are known."""
--- a/packages/router/fulmarward_router/state/_watch.py
+++ b/packages/router/fulmarward_router/state/_watch.py
@@ -28,7 +28,8 @@
 #: that there is nothing newer.
 RECHECK_WAIT_S = 0.2
 
-#: Seconds between two reads of the targets' changes; each call to the store costs.
+#: Seconds between two reads of the targets' changes, as each call to the store is paid
+#: for.
 TARGETS_INTERVAL_S = 0.4
 
 #: Seconds between two checks whether this instance must read the store itself, by
--- a/packages/router/fulmarward_router/tests/test_configuration_spread.py
+++ b/packages/router/fulmarward_router/tests/test_configuration_spread.py
@@ -32,7 +32,7 @@
 _STORE_SEND_TIMES_S = (0.0, 0.02, 0.04, 0.06)
 
 #: Maximum seconds for which a message may wait for a link, not counting the row from
-#: the store. A probe that is answered 35 to 250 ms later takes the target for lost.
+#: the store. A target whose probe is answered 35 to 250 ms late counts as unreachable.
 _MAX_WAIT_S = 0.1
 
 
--- a/packages/router/fulmarward_router/tests/test_instance_state.py
+++ b/packages/router/fulmarward_router/tests/test_instance_state.py
@@ -162,7 +162,7 @@
     def test_new_configuration_is_fetched_once_though_all_peers_report_it(self):
         # The operator changes the configuration, and 76 peers report it at the same
         # moment. Each was asked for the whole row. The answers saturated the link for
-        # two seconds; probes of targets timed out, and these were taken for lost.
+        # two seconds; probes timed out, and their targets counted as unreachable.
         peers = [Peer(f"peer{number}") for number in range(76)]
         for peer in peers:
             peer.configuration.apply_row(_make_row(4, b"7"), source="x", now=100.0)
