--- a/packages/router/fulmarward_router/daemon.py
+++ b/packages/router/fulmarward_router/daemon.py
@@ -173,7 +173,7 @@
         self.catalogue = TargetCatalogue()
         self.suspicions = SuspicionTable()
         self.target_change_handler = TargetChangeHandler(
-            suspicions=self.suspicions, note_urgent=self._notify_peers
+            suspicions=self.suspicions, notify_peers=self._notify_peers
         )
         self.paces = PaceTable()
         self.ledger = LoadLedger(note_changed=lambda: self.mesh.notify_loads())
@@ -200,8 +200,8 @@
             configuration=self.configuration,
             catalogue=self.catalogue,
             read_clock=clock,
-            note_change=self._notify_peers,
-            note_targets=self.target_change_handler.handle_changes,
+            notify_peers=self._notify_peers,
+            handle_target_changes=self.target_change_handler.handle_changes,
             is_among_first=lambda count: self.instance_state.is_among_first(count),
             is_large=lambda: self.members.is_large,
             read_heartbeat_interval_s=lambda: self.members.heartbeat_interval_s,
@@ -220,8 +220,8 @@
             is_ready=self.is_ready,
             is_leaving=lambda: self.life.is_stopping,
             is_store_reachable=lambda: self.watch.unreachable_since is None,
-            note_change=self._notify_peers,
-            note_targets=self.target_change_handler.handle_changes,
+            notify_peers=self._notify_peers,
+            handle_target_changes=self.target_change_handler.handle_changes,
             link_bytes_per_s=settings.link_bytes_per_s,
         )
         self.mesh = Mesh(
@@ -282,7 +282,7 @@
             catalogue=self.catalogue,
             suspicions=self.suspicions,
             read_clock=self._clock,
-            note_change=self._notify_peers,
+            notify_peers=self._notify_peers,
         )
         self.engines = EngineService(
             context=context,
@@ -312,7 +312,7 @@
             is_reader=lambda: self.members.is_first_in_data_centre(now=self._clock()),
             sees_slow_streams=self._sees_slow_streams,
             read_clock=self._clock,
-            note_change=self._notify_peers,
+            notify_peers=self._notify_peers,
         )
 
     async def _read_occupancy(self) -> None:
--- a/packages/router/fulmarward_router/exchange/_failure_detector.py
+++ b/packages/router/fulmarward_router/exchange/_failure_detector.py
@@ -90,13 +90,13 @@
         catalogue: TargetCatalogue,
         suspicions: SuspicionTable,
         read_clock: Callable[[], float],
-        note_change: Callable[[], None],
+        notify_peers: Callable[[], None],
     ) -> None:
         self._dialect = dialect
         self._catalogue = catalogue
         self._suspicions = suspicions
         self._read_clock = read_clock
-        self._note_change = note_change
+        self._notify_peers = notify_peers
         self._report_tasks: dict[str, asyncio.Task] = {}
         self._probed_at: dict[str, float] = {}
         #: Running probe rounds, with the targets of each.
@@ -110,7 +110,7 @@
         """Record that a target is unreachable."""
         if self._suspicions.record_failure(target, now=self._read_clock()):
             log_event("target_unreachable", target=target, source="own", cause=cause)
-            self._note_change()
+            self._notify_peers()
 
     def record_connect_failure(
         self, target: str, *, is_refused: bool, cause: str
--- a/packages/router/fulmarward_router/exchange/_paces.py
+++ b/packages/router/fulmarward_router/exchange/_paces.py
@@ -37,7 +37,7 @@
         is_reader: Callable[[], bool],
         sees_slow_streams: Callable[[], bool],
         read_clock: Callable[[], float],
-        note_change: Callable[[], None],
+        notify_peers: Callable[[], None],
     ) -> None:
         self._dialect = dialect
         self._catalogue = catalogue
@@ -46,7 +46,7 @@
         self._is_reader = is_reader
         self._sees_slow_streams = sees_slow_streams
         self._read_clock = read_clock
-        self._note_change = note_change
+        self._notify_peers = notify_peers
 
     async def run(self) -> None:
         """Poll reports while streams or targets are slow, until cancelled."""
@@ -64,7 +64,7 @@
             readings = [self._read_report(record) for record in group]
             changes += sum(await asyncio.gather(*readings))
         if changes:
-            self._note_change()
+            self._notify_peers()
 
     async def _read_report(self, record: TargetRecord) -> bool:
         """Read a target's report; return whether its pace has changed."""
--- a/packages/router/fulmarward_router/exchange/tests/test_failover.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_failover.py
@@ -99,7 +99,7 @@
             catalogue=mock.Mock(find_target=lambda name: SimpleNamespace(name=name)),
             suspicions=self.suspicions,
             read_clock=lambda: self.now,
-            note_change=lambda: None,
+            notify_peers=lambda: None,
         )
         self.suspicions.record_failure("first", now=self.now)
         self.assertEqual(detector._list_due(["first"]), [])
--- a/packages/router/fulmarward_router/exchange/tests/test_failure_detector.py
+++ b/packages/router/fulmarward_router/exchange/tests/test_failure_detector.py
@@ -97,7 +97,7 @@
             catalogue=_Catalogue(names),
             suspicions=self.table,
             read_clock=lambda: self.clock.now,
-            note_change=self._count_notification,
+            notify_peers=self._count_notification,
         )
 
     def _count_notification(self):
@@ -123,7 +123,7 @@
             catalogue=_Catalogue(),
             suspicions=table,
             read_clock=lambda: clock.now,
-            note_change=lambda: None,
+            notify_peers=lambda: None,
         )
         detector.probe(names)
         await detector.probe_and_wait(names)
@@ -148,7 +148,7 @@
                 catalogue=_Catalogue(),
                 suspicions=table,
                 read_clock=lambda: clock.now,
-                note_change=lambda: None,
+                notify_peers=lambda: None,
             )
             await asyncio.gather(
                 detector.probe_and_wait("abcdefghij"),
@@ -415,7 +415,7 @@
                 catalogue=_Catalogue("abcd"),
                 suspicions=table,
                 read_clock=time.monotonic,
-                note_change=lambda: None,
+                notify_peers=lambda: None,
             )
             detector.probe("abcd")
             await detector.probe_and_wait("abcd")
@@ -509,7 +509,7 @@
             catalogue=_Catalogue("acd"),
             suspicions=table,
             read_clock=lambda: 100.0,
-            note_change=lambda: None,
+            notify_peers=lambda: None,
         )
         detector.probe("a")
         for name in "acd":
--- a/packages/router/fulmarward_router/mesh/_links.py
+++ b/packages/router/fulmarward_router/mesh/_links.py
@@ -279,7 +279,7 @@
         finally:
             self._sender.remove(link)
             for name in receiver.senders:
-                self._state.note_link_lost(name)
+                self._state.handle_link_closed(name)
 
     def _make_introduction(self, *, is_answer: bool) -> Introduction:
         """Return the first message of a link, or the answer to `FetchInstances`.
@@ -407,17 +407,17 @@
     async def _handle_supports_compression(
         self, receiver: _LinkReceiver, message: SupportsCompression
     ) -> None:
-        self._state.note_supports_compression(message)
+        self._state.record_supports_compression(message)
 
     async def _handle_deferred(
         self, receiver: _LinkReceiver, message: ConfigurationDeferred
     ) -> None:
-        self._state.note_deferred(message)
+        self._state.record_deferred(message)
 
     async def _handle_received(
         self, receiver: _LinkReceiver, message: ConfigurationReceived
     ) -> None:
-        self._state.note_received(message)
+        self._state.record_received(message)
 
     async def _handle_compressed_configuration(
         self, receiver: _LinkReceiver, message: CompressedConfiguration
@@ -457,7 +457,7 @@
             if receiver.link is not None:
                 self._sender.remove(receiver.link)
             for name in receiver.senders:
-                self._state.note_link_lost(name)
+                self._state.handle_link_closed(name)
 
     def _record_link_lost(self, receiver: _LinkReceiver) -> None:
         """Mark the instances that sent on a broken link as silent."""
--- a/packages/router/fulmarward_router/mesh/_state.py
+++ b/packages/router/fulmarward_router/mesh/_state.py
@@ -84,16 +84,16 @@
     def merge_snapshot(self, snapshot: Snapshot) -> None:
         """Merge the answer of a peer to a fetch."""
 
-    def note_supports_compression(self, message: SupportsCompression) -> None:
+    def record_supports_compression(self, message: SupportsCompression) -> None:
         """Record that a peer answers fetches of the compressed configuration."""
 
-    def note_deferred(self, message: ConfigurationDeferred) -> None:
+    def record_deferred(self, message: ConfigurationDeferred) -> None:
         """Record that a peer cannot answer yet, as it is sending to other peers."""
 
-    def note_received(self, message: ConfigurationReceived) -> None:
+    def record_received(self, message: ConfigurationReceived) -> None:
         """Record that a peer has received the configuration sent to it."""
 
-    def note_link_lost(self, peer: str) -> None:
+    def handle_link_closed(self, peer: str) -> None:
         """End the transfer to a peer, and a fetch from it: its link has closed."""
 
     def make_data_centre_report(self, data_centre: str) -> DataCentreReport:
--- a/packages/router/fulmarward_router/mesh/tests/test_links.py
+++ b/packages/router/fulmarward_router/mesh/tests/test_links.py
@@ -62,16 +62,16 @@
     def merge_snapshot(self, snapshot):
         self._calls.append(("merged", snapshot))
 
-    def note_deferred(self, message):
+    def record_deferred(self, message):
         self._calls.append(("merged", message))
 
-    def note_supports_compression(self, message):
+    def record_supports_compression(self, message):
         self._calls.append(("merged", message))
 
-    def note_received(self, message):
+    def record_received(self, message):
         self._calls.append(("merged", message))
 
-    def note_link_lost(self, peer):
+    def handle_link_closed(self, peer):
         self._calls.append(("lost", peer))
 
 
--- a/packages/router/fulmarward_router/placement/_placer.py
+++ b/packages/router/fulmarward_router/placement/_placer.py
@@ -274,13 +274,13 @@
                 item.layers for item in local if item.target.name not in reported
             ]
             missing = find_gaps(engine.layers, confirmed)
-            self._note_missing((service, data_centre), missing, now)
+            self._record_missing((service, data_centre), missing, now)
             if missing != find_gaps(engine.layers, [item.layers for item in local]):
                 to_probe += reported
         if to_probe:
             self._probe_targets(to_probe)
 
-    def _note_missing(
+    def _record_missing(
         self, key: tuple[str, str], gaps: Sequence[LayerRange], now: float
     ) -> None:
         previous = self._missing_since.get(key, {})
--- a/packages/router/fulmarward_router/placement/tests/test_placer.py
+++ b/packages/router/fulmarward_router/placement/tests/test_placer.py
@@ -135,7 +135,7 @@
             catalogue=catalogue,
             suspicions=self.table,
             read_clock=read_clock,
-            note_change=lambda: None,
+            notify_peers=lambda: None,
         )
         pool = ServiceSpec(name="pool", engine=ENGINE)
         self.placer = Placer(
--- a/packages/router/fulmarward_router/state/_configuration_exchange.py
+++ b/packages/router/fulmarward_router/state/_configuration_exchange.py
@@ -39,12 +39,12 @@
         configuration: ConfigurationHolder,
         link_bytes_per_s: float | None,
         read_clock: Callable[[], float],
-        note_change: Callable[[], None],
+        notify_peers: Callable[[], None],
     ) -> None:
         self._name = name
         self._configuration = configuration
         self._read_clock = read_clock
-        self._note_change = note_change
+        self._notify_peers = notify_peers
         self._pending_fetch = PendingFetch()
         self._transfers = TransferLimiter(
             max_bytes=find_max_in_flight(link_bytes_per_s)
@@ -95,7 +95,7 @@
             return FetchCompressedConfiguration(sender=self._name, version=version)
         return FetchConfiguration(version=version)
 
-    def note_supports_compression(self, message: SupportsCompression) -> None:
+    def record_supports_compression(self, message: SupportsCompression) -> None:
         """Record that a peer answers fetches of the compressed configuration."""
         self._supports_compression[message.sender] = message.boot
 
@@ -158,16 +158,16 @@
             self._compressed = (row, compressed)
         return self._compressed[1]
 
-    def note_deferred(self, message: ConfigurationDeferred) -> None:
+    def record_deferred(self, message: ConfigurationDeferred) -> None:
         """Record that a peer cannot answer yet, as it is sending to other peers."""
         self._pending_fetch.note_deferred(message.sender, now=self._read_clock())
         log_event("configuration_deferred", peer=message.sender)
 
-    def note_received(self, message: ConfigurationReceived) -> None:
+    def record_received(self, message: ConfigurationReceived) -> None:
         """Record that a peer has received the configuration sent to it."""
         self._transfers.end(message.sender)
 
-    def note_link_lost(self, peer: str) -> None:
+    def handle_link_closed(self, peer: str) -> None:
         """End the transfer to a peer, and a fetch from it: its link has closed."""
         self._transfers.end(peer)
         timed_out = self._pending_fetch.note_lost(
@@ -196,7 +196,7 @@
 
     def _merge(self, row: Row) -> None:
         if self._configuration.apply_row(row, source="peer", now=self._read_clock()):
-            self._note_change()
+            self._notify_peers()
 
 
 def _log_fetch_timeout(fetch: FetchTimeout | None, *, cause: str) -> None:
--- a/packages/router/fulmarward_router/state/_instance_state.py
+++ b/packages/router/fulmarward_router/state/_instance_state.py
@@ -71,8 +71,8 @@
         is_ready: Callable[[], bool],
         is_leaving: Callable[[], bool],
         is_store_reachable: Callable[[], bool],
-        note_change: Callable[[], None],
-        note_targets: Callable[[list[KnownRow]], None],
+        notify_peers: Callable[[], None],
+        handle_target_changes: Callable[[list[KnownRow]], None],
         link_bytes_per_s: float | None = None,
     ) -> None:
         self._own = own
@@ -88,8 +88,8 @@
         self._is_ready = is_ready
         self._is_leaving = is_leaving
         self._is_store_reachable = is_store_reachable
-        self._note_change = note_change
-        self._note_targets = note_targets
+        self._notify_peers = notify_peers
+        self._handle_target_changes = handle_target_changes
         self._started_at = read_clock()
         #: When changes of targets were last requested, and after which version.
         self._targets_fetched_at = float("-inf")
@@ -101,7 +101,7 @@
             configuration=configuration,
             link_bytes_per_s=link_bytes_per_s,
             read_clock=read_clock,
-            note_change=note_change,
+            notify_peers=notify_peers,
         )
         #: Sequence number of the newest load update of each instance.
         self._updates: dict[str, int] = {}
@@ -224,9 +224,9 @@
         self._targets_fetched_at, self._targets_fetched_after = now, own
         return True
 
-    def note_supports_compression(self, message: SupportsCompression) -> None:
+    def record_supports_compression(self, message: SupportsCompression) -> None:
         """Record that a peer answers fetches of the compressed configuration."""
-        self._exchange.note_supports_compression(message)
+        self._exchange.record_supports_compression(message)
 
     def make_data_centre_report(self, data_centre: str) -> DataCentreReport:
         """Return this instance's report, as a hub, on a data centre."""
@@ -416,17 +416,17 @@
             rows=rows,
         )
 
-    def note_deferred(self, message: ConfigurationDeferred) -> None:
+    def record_deferred(self, message: ConfigurationDeferred) -> None:
         """Record that a peer cannot answer yet, as it is sending to other peers."""
-        self._exchange.note_deferred(message)
+        self._exchange.record_deferred(message)
 
-    def note_received(self, message: ConfigurationReceived) -> None:
+    def record_received(self, message: ConfigurationReceived) -> None:
         """Record that a peer has received the configuration sent to it."""
-        self._exchange.note_received(message)
+        self._exchange.record_received(message)
 
-    def note_link_lost(self, peer: str) -> None:
+    def handle_link_closed(self, peer: str) -> None:
         """End the transfer to a peer, and a fetch from it: its link has closed."""
-        self._exchange.note_link_lost(peer)
+        self._exchange.handle_link_closed(peer)
 
     def merge_snapshot(self, snapshot: Snapshot) -> None:
         """Merge the answer of a peer to a fetch."""
@@ -448,7 +448,7 @@
         is_contiguous = snapshot.after <= self._catalogue.version
         version = snapshot.version if is_contiguous else 0
         at = now - snapshot.age_ms / 1000
-        self._note_targets(
+        self._handle_target_changes(
             self._catalogue.apply_changes(rows, version, now=now, confirmed_at=at)
         )
 
--- a/packages/router/fulmarward_router/state/_target_changes.py
+++ b/packages/router/fulmarward_router/state/_target_changes.py
@@ -11,10 +11,10 @@
     """Logs changes of targets and clears the suspicion of a restarted one."""
 
     def __init__(
-        self, *, suspicions: SuspicionTable, note_urgent: Callable[[], None]
+        self, *, suspicions: SuspicionTable, notify_peers: Callable[[], None]
     ) -> None:
         self._suspicions = suspicions
-        self._note_urgent = note_urgent
+        self._notify_peers = notify_peers
         #: Start time of each known target, in ms since 1970, and the names of those
         #: that are leaving.
         self._started_ms: dict[str, int] = {}
@@ -24,7 +24,7 @@
         """Handle rows that have changed."""
         if any(row.record is None or row.record.is_leaving for row in rows):
             # Peers must stop sending requests there too.
-            self._note_urgent()
+            self._notify_peers()
         for row in rows:
             if row.record is None:
                 self._handle_removal(row)
--- a/packages/router/fulmarward_router/state/_watch.py
+++ b/packages/router/fulmarward_router/state/_watch.py
@@ -69,8 +69,8 @@
         configuration: ConfigurationHolder,
         catalogue: TargetCatalogue,
         read_clock: Callable[[], float],
-        note_change: Callable[[], None],
-        note_targets: Callable[[list[KnownRow]], None],
+        notify_peers: Callable[[], None],
+        handle_target_changes: Callable[[list[KnownRow]], None],
         is_among_first: Callable[[int], bool],
         is_large: Callable[[], bool],
         read_heartbeat_interval_s: Callable[[], float],
@@ -79,8 +79,8 @@
         self._configuration = configuration
         self._catalogue = catalogue
         self._read_clock = read_clock
-        self._note_change = note_change
-        self._note_targets = note_targets
+        self._notify_peers = notify_peers
+        self._handle_target_changes = handle_target_changes
         self._is_among_first = is_among_first
         self._is_large = is_large
         self._read_heartbeat_interval_s = read_heartbeat_interval_s
@@ -135,7 +135,7 @@
             for row in read.rows
         ]
         if any(adopted):
-            self._note_change()
+            self._notify_peers()
 
     async def follow_targets(self) -> None:
         """Keep the catalogue up to date, by reads or by peers' reports."""
@@ -192,7 +192,7 @@
         rows = [self.decode_row(row, now=now) for row in read.rows]
         self._catalogue.apply_full_read(rows, read.version, now=now)
         log_event("targets_read", rows=len(rows), store_version=read.version)
-        self._note_targets(rows)
+        self._handle_target_changes(rows)
 
     async def _read_changes(self) -> None:
         read = await self._store.follow_table(
@@ -200,7 +200,9 @@
         )
         now = self._read_clock()
         rows = [self.decode_row(row, now=now) for row in read.rows]
-        self._note_targets(self._catalogue.apply_changes(rows, read.version, now=now))
+        self._handle_target_changes(
+            self._catalogue.apply_changes(rows, read.version, now=now)
+        )
 
     def decode_row(self, row: Row, *, now: float) -> KnownRow:
         """Return a row of the targets' table in the form that the catalogue stores."""
--- a/packages/router/fulmarward_router/tests/test_configuration_spread.py
+++ b/packages/router/fulmarward_router/tests/test_configuration_spread.py
@@ -219,9 +219,9 @@
         elif isinstance(message, TargetChanges):
             peer.instance_state.merge_snapshot(message)
         elif isinstance(message, ConfigurationDeferred):
-            peer.instance_state.note_deferred(message)
+            peer.instance_state.record_deferred(message)
         elif isinstance(message, ConfigurationReceived):
-            peer.instance_state.note_received(message)
+            peer.instance_state.record_received(message)
 
 
 class ConfigurationSpreadTest(unittest.TestCase):
--- a/packages/router/fulmarward_router/tests/test_instance_state.py
+++ b/packages/router/fulmarward_router/tests/test_instance_state.py
@@ -65,8 +65,8 @@
             is_ready=lambda: True,
             is_leaving=lambda: self.is_leaving,
             is_store_reachable=lambda: self.is_store_reachable,
-            note_change=lambda: None,
-            note_targets=lambda rows: None,
+            notify_peers=lambda: None,
+            handle_target_changes=lambda rows: None,
             link_bytes_per_s=link_bytes_per_s,
         )
 
@@ -84,7 +84,7 @@
         """Receive the `SupportsCompression` that another sends when it dials a link."""
         sender = other.instance_state.make_heartbeat().sender
         message = SupportsCompression(sender=sender.name, boot=sender.boot)
-        self.instance_state.note_supports_compression(message)
+        self.instance_state.record_supports_compression(message)
 
     def receive_heartbeat(self, other):
         """Merge a heartbeat of another and its answers to the fetches; return these."""
@@ -95,7 +95,7 @@
         for fetch in fetches:
             answer = other.instance_state.answer(fetch)
             if isinstance(answer, ConfigurationDeferred):
-                self.instance_state.note_deferred(answer)
+                self.instance_state.record_deferred(answer)
             elif answer is not None:
                 self.instance_state.merge_snapshot(answer)
         return fetches
@@ -218,9 +218,9 @@
         self.assertEqual(
             [len(merge_heartbeat(heartbeat)) for heartbeat in heartbeats], [1, 0]
         )
-        self.one.instance_state.note_link_lost("three")
+        self.one.instance_state.handle_link_closed("three")
         self.assertEqual(merge_heartbeat(heartbeats[1]), [])
-        self.one.instance_state.note_link_lost("two")
+        self.one.instance_state.handle_link_closed("two")
         self.assertEqual(len(merge_heartbeat(heartbeats[1])), 1)
 
     def test_damaged_configuration_changes_nothing(self):
