--- a/packages/router/fulmarward_router/daemon.py
+++ b/packages/router/fulmarward_router/daemon.py
@@ -173,7 +173,7 @@
         self.catalogue = TargetCatalogue()
         self.suspicions = SuspicionTable()
         self.target_change_handler = TargetChangeHandler(
-            suspicions=self.suspicions, note_urgent=self._notify_peers
+            suspicions=self.suspicions, notify_peers=self._notify_peers
         )
         self.paces = PaceTable()
         self.ledger = LoadLedger(note_changed=lambda: self.mesh.notify_loads())
@@ -200,8 +200,8 @@
             configuration=self.configuration,
             catalogue=self.catalogue,
             read_clock=clock,
-            note_change=self._notify_peers,
-            note_targets=self.target_change_handler.handle_changes,
+            notify_peers=self._notify_peers,
+            handle_target_changes=self.target_change_handler.handle_changes,
             is_among_first=lambda count: self.instance_state.is_among_first(count),
             is_large=lambda: self.members.is_large,
             read_heartbeat_interval_s=lambda: self.members.heartbeat_interval_s,
@@ -220,8 +220,8 @@
             is_ready=self.is_ready,
             is_leaving=lambda: self.life.is_stopping,
             is_store_reachable=lambda: self.watch.unreachable_since is None,
-            note_change=self._notify_peers,
-            note_targets=self.target_change_handler.handle_changes,
+            notify_peers=self._notify_peers,
+            handle_target_changes=self.target_change_handler.handle_changes,
             link_bytes_per_s=settings.link_bytes_per_s,
         )
         self.mesh = Mesh(
@@ -258,11 +258,11 @@
             count_routing_instances=self.listing.count_listed,
             read_clock=clock,
         )
-        self.front = self._make_front(
+        self.caller_handler = self._make_caller_handler(
             TargetClient(session=target_session, dialect=self.dialect)
         )
 
-    def _make_front(self, client: TargetClient) -> CallerHandler:
+    def _make_caller_handler(self, client: TargetClient) -> CallerHandler:
         context = ServiceContext(
             client=client,
             dialect=self.dialect,
@@ -282,7 +282,7 @@
             catalogue=self.catalogue,
             suspicions=self.suspicions,
             read_clock=self._clock,
-            note_change=self._notify_peers,
+            notify_peers=self._notify_peers,
         )
         self.engines = EngineService(
             context=context,
@@ -303,7 +303,7 @@
             ),
         )
 
-    def _make_pace_watch(self) -> PaceMonitor:
+    def _make_pace_monitor(self) -> PaceMonitor:
         return PaceMonitor(
             dialect=self.dialect,
             catalogue=self.catalogue,
@@ -312,7 +312,7 @@
             is_reader=lambda: self.members.is_first_in_data_centre(now=self._clock()),
             sees_slow_streams=self._sees_slow_streams,
             read_clock=self._clock,
-            note_change=self._notify_peers,
+            notify_peers=self._notify_peers,
         )
 
     async def _read_occupancy(self) -> None:
@@ -388,7 +388,7 @@
             self._start("lease", self.lease.run()),
             self._start("placement", self.placer.run()),
             self._start("streams", self.engines.supervisor.run()),
-            self._start("paces", self._make_pace_watch().run()),
+            self._start("paces", self._make_pace_monitor().run()),
             self._start("occupancy", self._read_occupancy()),
             self._start("losses", self.failure_detector.run()),
             self._start("readiness", self._become_ready()),
@@ -424,14 +424,14 @@
             ),
             describe=lambda: describe_status(self, now=self._clock()),
         )
-        front = CallerServer(
-            self.front.handle,
-            read_idle_timeout_s=self.front.read_idle_timeout_s,
+        caller_server = CallerServer(
+            self.caller_handler.handle,
+            read_idle_timeout_s=self.caller_handler.read_idle_timeout_s,
             max_header_bytes=MAX_HEADER_BYTES,
         )
         ready = make_ready_handler(is_ready=self.is_ready)
         handlers = [
-            ("requests", settings.caller_address, front),
+            ("requests", settings.caller_address, caller_server),
             ("readiness", settings.ready_address, ready),
             ("lookup", settings.lookup_address, lookup),
             ("metrics", settings.metrics_address, operator),
@@ -489,7 +489,7 @@
         grace_s = self.settings.grace_s
         self.life.begin_stop()
         self._notify_peers()
-        log_event("stopping", open_requests=self.front.open_requests.total())
+        log_event("stopping", open_requests=self.caller_handler.open_requests.total())
         withdrawal = asyncio.create_task(self.rows.withdraw())
         while True:
             await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
@@ -499,14 +499,14 @@
                 and self.life.accepts_streams
             ):
                 self.life.refuse_streams()
-            is_idle = self.front.open_requests.total() == 0
+            is_idle = self.caller_handler.open_requests.total() == 0
             if is_idle and elapsed_s >= min(MIN_DRAIN_DURATION_S, grace_s / 2):
                 break
             if elapsed_s >= grace_s * FORCED_EXIT_FRACTION:
                 break
         withdrawal.cancel()
         self.life.finish_stop()
-        log_event("stop_ends", cut=self.front.open_requests.total())
+        log_event("stop_ends", cut=self.caller_handler.open_requests.total())
 
     def _start(self, name: str, coroutine: Coroutine[None, None, None]) -> asyncio.Task:
         """Start a background task; if it fails, the instance stops."""
--- a/packages/router/fulmarward_router/placement/tests/test_placer.py
+++ b/packages/router/fulmarward_router/placement/tests/test_placer.py
@@ -59,8 +59,8 @@
     def is_held(self):
         return True
 
-    def drop(self):
-        raise AssertionError("the lease was dropped")
+    def abandon(self):
+        raise AssertionError("the lease was abandoned")
 
 
 @dataclass(frozen=True)
@@ -135,7 +135,7 @@
             catalogue=catalogue,
             suspicions=self.table,
             read_clock=read_clock,
-            note_change=lambda: None,
+            notify_peers=lambda: None,
         )
         pool = ServiceSpec(name="pool", engine=ENGINE)
         self.placer = Placer(
--- a/packages/router/fulmarward_router/tests/test_instance_state.py
+++ b/packages/router/fulmarward_router/tests/test_instance_state.py
@@ -65,8 +65,8 @@
             is_ready=lambda: True,
             is_leaving=lambda: self.is_leaving,
             is_store_reachable=lambda: self.is_store_reachable,
-            note_change=lambda: None,
-            note_targets=lambda rows: None,
+            notify_peers=lambda: None,
+            handle_target_changes=lambda rows: None,
             link_bytes_per_s=link_bytes_per_s,
         )
 
@@ -84,7 +84,7 @@
         """Receive the `SupportsCompression` that another sends when it dials a link."""
         sender = other.instance_state.make_heartbeat().sender
         message = SupportsCompression(sender=sender.name, boot=sender.boot)
-        self.instance_state.note_supports_compression(message)
+        self.instance_state.record_supports_compression(message)
 
     def receive_heartbeat(self, other):
         """Merge a heartbeat of another and its answers to the fetches; return these."""
@@ -95,7 +95,7 @@
         for fetch in fetches:
             answer = other.instance_state.answer(fetch)
             if isinstance(answer, ConfigurationDeferred):
-                self.instance_state.note_deferred(answer)
+                self.instance_state.record_deferred(answer)
             elif answer is not None:
                 self.instance_state.merge_snapshot(answer)
         return fetches
@@ -162,7 +162,7 @@
     def test_new_configuration_is_fetched_once_though_all_peers_report_it(self):
         # The operator changes the configuration, and 76 peers report it at the same
         # moment. Each was asked for the whole row. The answers saturated the link for
-        # two seconds; probes of targets timed out, and these were taken for lost.
+        # two seconds; probes timed out, and their targets counted as unreachable.
         peers = [Peer(f"peer{number}") for number in range(76)]
         for peer in peers:
             peer.configuration.apply_row(_make_row(4, b"7"), source="x", now=100.0)
@@ -218,9 +218,9 @@
         self.assertEqual(
             [len(merge_heartbeat(heartbeat)) for heartbeat in heartbeats], [1, 0]
         )
-        self.one.instance_state.note_link_lost("three")
+        self.one.instance_state.handle_link_closed("three")
         self.assertEqual(merge_heartbeat(heartbeats[1]), [])
-        self.one.instance_state.note_link_lost("two")
+        self.one.instance_state.handle_link_closed("two")
         self.assertEqual(len(merge_heartbeat(heartbeats[1])), 1)
 
     def test_damaged_configuration_changes_nothing(self):
