--- a/packages/standins/fulmarward_standins/_ledger.py
+++ b/packages/standins/fulmarward_standins/_ledger.py
@@ -17,9 +17,9 @@
     request: str
     attempt: int
     team: str
-    #: Token position from 0, or -1.
+    #: Token position from 0, or -1 if there is none.
     position: int
-    #: First and last layer run, both inclusive, or -1.
+    #: First and last layer run, both inclusive, or -1 if there is none.
     first_layer: int
     last_layer: int
     #: `began`, `ran`, `ended` or `cancelled`.
--- a/packages/standins/fulmarward_standins/bench/declaration.py
+++ b/packages/standins/fulmarward_standins/bench/declaration.py
@@ -88,11 +88,11 @@
 def _measure_memory(value: dict) -> int:
     tracemalloc.start()
     declaration = parse_declaration(value)
-    held, _ = tracemalloc.get_traced_memory()
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     if isinstance(declaration, tuple):
         raise AssertionError(f"expected a valid declaration, found {declaration[:3]}")
-    return held
+    return allocated
 
 
 def _measure_row(targets: int) -> dict:
--- a/packages/standins/fulmarward_standins/bench/health.py
+++ b/packages/standins/fulmarward_standins/bench/health.py
@@ -263,8 +263,8 @@
             )
             for key in keys
         )
-        news = SummaryExchange(digest=2**63, summaries=records)
-        return keys, len(encode_message(news)) + FRAME_BYTES
+        message = SummaryExchange(digest=2**63, summaries=records)
+        return keys, len(encode_message(message)) + FRAME_BYTES
 
     def receive(self, peer: str, versions: dict[PoolKey, int]) -> None:
         sent = self.sent.setdefault(peer, {})
@@ -273,20 +273,20 @@
                 self.versions[key] = sent[key] = version
 
 
-def _exchange(nodes: dict[str, _SimulatedInstance], name: str, other: str) -> None:
+def _exchange(instances: dict[str, _SimulatedInstance], name: str, other: str) -> None:
     for sender, receiver in ((name, other), (other, name)):
-        keys, size = nodes[sender].take_unsent(receiver)
-        versions = {key: nodes[sender].versions[key] for key in keys}
-        nodes[receiver].receive(sender, versions)
-        nodes[sender].bytes += size
-        nodes[receiver].bytes += size
+        keys, size = instances[sender].take_unsent(receiver)
+        versions = {key: instances[sender].versions[key] for key in keys}
+        instances[receiver].receive(sender, versions)
+        instances[sender].bytes += size
+        instances[receiver].bytes += size
 
 
 def _measure_gossip(seed: int) -> dict:
     generator = random.Random(seed)
     neighbours = _list_neighbours()
-    nodes = {name: _SimulatedInstance() for name in neighbours}
-    names = list(nodes)
+    simulated = {name: _SimulatedInstance() for name in neighbours}
+    names = list(simulated)
     keys = [
         (f"model-{model}", f"data-centre-{data_centre:02}")
         for model in range(MODELS)
@@ -297,18 +297,18 @@
     for second in range(0, GOSSIP_S, ROUND_S):
         if second % SUMMARY_S == 0:
             for key, sender in senders.items():
-                nodes[sender].versions[key] = second * 10 + 1
+                simulated[sender].versions[key] = second * 10 + 1
         for turn, name in enumerate(generator.sample(names, len(names))):
             others = neighbours[name]
-            _exchange(nodes, name, others[(second // ROUND_S + turn) % len(others)])
+            _exchange(simulated, name, others[(second // ROUND_S + turn) % len(others)])
         if second >= GOSSIP_S // 2:
             ages += [
-                second + ROUND_S - node.versions.get(key, 0) / 10
-                for node in nodes.values()
+                second + ROUND_S - instance.versions.get(key, 0) / 10
+                for instance in simulated.values()
                 for key in keys
             ]
     ages.sort()
-    rates = [node.bytes / GOSSIP_S for node in nodes.values()]
+    rates = [instance.bytes / GOSSIP_S for instance in simulated.values()]
     return {
         "kind": "gossip",
         "instances": INSTANCES,
--- a/packages/standins/fulmarward_standins/bench/keys.py
+++ b/packages/standins/fulmarward_standins/bench/keys.py
@@ -112,12 +112,12 @@
         request="0" * 20,
         place=_PLACE,
     )
-    notes = [
+    updates = [
         UpdateKeyRecord(boot=2**41, key=_HASH, step=step, failure=None, answer=None)
         for step in (RecordStep.BEGIN, RecordStep.END)
     ]
     answers = [RecordAttemptReply(verdict=RecordVerdict.ACCEPTED), Ack(), Ack()]
-    messages = [record, *notes, *answers]
+    messages = [record, *updates, *answers]
     size = sum(len(encode_message(message)) + FRAME_BYTES for message in messages)
     return {"way": "bytes between home and witness", "bytes_a_call": size}
 
--- a/packages/standins/fulmarward_standins/bench/recovery.py
+++ b/packages/standins/fulmarward_standins/bench/recovery.py
@@ -141,7 +141,9 @@
         await wait_until(all_streaming, "all callers to be served")
         lost, how = _LOSSES[kind]
         ledgers = await fleet.read_ledgers_by_target()
-        held = {item["request"] for name in lost for item in ledgers.get(name, ())}
+        lost_requests = {
+            item["request"] for name in lost for item in ledgers.get(name, ())
+        }
         lost_at = time.monotonic()
         for name in lost:
             fleet.processes[name].send(how)
@@ -149,7 +151,7 @@
         hit = [
             caller
             for caller in callers
-            if caller.instances[0] in lost or caller.request in held
+            if caller.instances[0] in lost or caller.request in lost_requests
         ]
         if how is signal.SIGSTOP:
             for name in lost:
--- a/packages/standins/fulmarward_standins/demand/_calls.py
+++ b/packages/standins/fulmarward_standins/demand/_calls.py
@@ -70,12 +70,12 @@
 def make_calls(scenario: Scenario, generator: random.Random) -> list[Call]:
     """Return the calls of a run, ordered by arrival."""
     calls = []
-    parts = [kind.share for kind in scenario.kinds]
+    shares = [kind.share for kind in scenario.kinds]
     shared = scenario.prefix_tokens if scenario.prefixes else 0
     for index, (team, demand) in enumerate(scenario.teams.items()):
         rate = demand.asked * capacity_per_s(scenario)
         for arrived in _list_arrivals(scenario, rate, generator):
-            kind = generator.choices(scenario.kinds, parts)[0]
+            kind = generator.choices(scenario.kinds, shares)[0]
             output = _vary(generator, kind.output)
             instance = generator.randrange(scenario.instances)
             calls.append(
--- a/packages/standins/fulmarward_standins/demand/_engines.py
+++ b/packages/standins/fulmarward_standins/demand/_engines.py
@@ -39,11 +39,13 @@
     reports_no_load: bool = False
     waiting: list[Stream] = field(default_factory=list)
     running: list[Stream] = field(default_factory=list)
-    held: OrderedDict[int, None] = field(default_factory=OrderedDict)
-    #: Time and running and waiting streams, sampled every 0.1 s for 6 s.
+    cached_prefixes: OrderedDict[int, None] = field(default_factory=OrderedDict)
+    #: Time and numbers of running and waiting streams, every 0.1 s of the last 6 s.
     loads: deque = field(default_factory=lambda: deque(maxlen=60))
     #: Called with the cached prefixes after each change.
-    on_cache_change: Callable[[str, frozenset[str]], None] = lambda name, held: None
+    on_cache_change: Callable[[str, frozenset[str]], None] = (
+        lambda name, cached_prefixes: None
+    )
 
 
 def start_stream(simulation: Simulation, engine: Engine, stream: Stream) -> bool:
@@ -98,13 +100,13 @@
 def _use_prefix(engine: Engine, call: Call) -> bool:
     if call.prefix < 0:
         return False
-    is_held = call.prefix in engine.held
-    engine.held[call.prefix] = None
-    engine.held.move_to_end(call.prefix)
-    if len(engine.held) > engine.scenario.cache_entries:
-        engine.held.popitem(last=False)
+    is_held = call.prefix in engine.cached_prefixes
+    engine.cached_prefixes[call.prefix] = None
+    engine.cached_prefixes.move_to_end(call.prefix)
+    if len(engine.cached_prefixes) > engine.scenario.cache_entries:
+        engine.cached_prefixes.popitem(last=False)
     if not is_held:
-        engine.on_cache_change(engine.name, frozenset(map(str, engine.held)))
+        engine.on_cache_change(engine.name, frozenset(map(str, engine.cached_prefixes)))
     return is_held
 
 
--- a/packages/standins/fulmarward_standins/demand/_measure.py
+++ b/packages/standins/fulmarward_standins/demand/_measure.py
@@ -48,8 +48,8 @@
 def measure_run(scenario: Scenario, record: RunRecord) -> dict[str, object]:
     """Return the result row of a run."""
     start, end = scenario.warmup_s, scenario.duration_s
-    whole = [call for call in record.calls if call.outcome == "whole"]
-    useful = [call for call in whole if start <= call.ended_at < end]
+    completed = [call for call in record.calls if call.outcome == "whole"]
+    useful = [call for call in completed if start <= call.ended_at < end]
     first_arrivals = record.first_arrivals
     offered = [
         call
@@ -62,7 +62,7 @@
     ]
     token_s = [call.token_s for call in useful]
     resubmissions = sum(call.resubmissions for call in record.calls)
-    taken = sum(call.resubmissions_admitted for call in record.calls)
+    admitted = sum(call.resubmissions_admitted for call in record.calls)
     return {
         "of_bound": round(
             _sum_work(scenario, useful) / _bound(scenario, offered, start, end), 3
@@ -78,21 +78,21 @@
         "refused_p95_s": _quantile(record.refusals_s, 95),
         "late": sum(1 for call in offered if call.outcome == "late"),
         "failed": sum(1 for call in offered if call.outcome == "failed"),
-        "returns_taken": round(taken / resubmissions, 3) if resubmissions else "",
-        "recovery_s": _measure_recovery_s(scenario, record, whole),
+        "returns_taken": round(admitted / resubmissions, 3) if resubmissions else "",
+        "recovery_s": _measure_recovery_s(scenario, record, completed),
     }
 
 
 def _measure_worst_compliant_team(scenario: Scenario, offered: list[Call]) -> object:
     """Return the lowest share of tokens served, over teams within their sold share."""
-    parts = []
+    shares = []
     for team, demand in scenario.teams.items():
         if demand.asked > demand.sold:
             continue
-        its = [call for call in offered if call.team == team]
-        got = [call for call in its if call.outcome == "whole"]
-        parts.append(_sum_tokens(got) / max(1, _sum_tokens(its)))
-    return round(min(parts), 3) if parts else ""
+        offered_by_team = [call for call in offered if call.team == team]
+        completed = [call for call in offered_by_team if call.outcome == "whole"]
+        shares.append(_sum_tokens(completed) / max(1, _sum_tokens(offered_by_team)))
+    return round(min(shares), 3) if shares else ""
 
 
 def _sum_tokens(calls: list[Call]) -> int:
@@ -100,7 +100,7 @@
 
 
 def _measure_recovery_s(
-    scenario: Scenario, record: RunRecord, whole: list[Call]
+    scenario: Scenario, record: RunRecord, completed: list[Call]
 ) -> object:
     """Return the seconds from the first fault to two recovered intervals in a row."""
     if not scenario.faults:
@@ -112,7 +112,7 @@
     now = fault_at
     while now < scenario.duration_s:
         until = now + RECOVERY_BIN_S
-        ended = [call for call in whole if now <= call.ended_at < until]
+        ended = [call for call in completed if now <= call.ended_at < until]
         bound = min(demand * slots, capacity_slots(scenario, until)) * RECOVERY_BIN_S
         good = good + 1 if _sum_work(scenario, ended) >= RECOVERED_SHARE * bound else 0
         now = until
--- a/packages/standins/fulmarward_standins/demand/tests/test_scenarios.py
+++ b/packages/standins/fulmarward_standins/demand/tests/test_scenarios.py
@@ -51,7 +51,7 @@
 
         No policy can save a stream that was running on a target when it failed.
         """
-        hit = {place for fault in scenario.faults for place in fault.engines}
+        hit = {index for fault in scenario.faults for index in fault.engines}
         cut = [call for call in record.calls if call.outcome == "failed"]
         self.assertLessEqual(len(cut), len(hit) * scenario.slots)
         kept = [
--- a/packages/standins/fulmarward_standins/demo.py
+++ b/packages/standins/fulmarward_standins/demo.py
@@ -107,23 +107,23 @@
 
 
 async def _show_stream(fleet: Fleet) -> Row:
-    arrived, is_whole = await _stream(fleet, "i1", 20)
+    arrived, is_complete = await _stream(fleet, "i1", 20)
     return Row(
         what="streamed completion of 20 tokens",
-        found=f"{arrived} tokens, {'whole' if is_whole else 'cut'}",
-        is_right=arrived == 20 and is_whole,
+        found=f"{arrived} tokens, {'whole' if is_complete else 'cut'}",
+        is_right=arrived == 20 and is_complete,
     )
 
 
 async def _show_chain(fleet: Fleet) -> Row:
-    arrived, is_whole = await _stream(fleet, "i2", 20, pipeline="chain")
+    arrived, is_complete = await _stream(fleet, "i2", 20, pipeline="chain")
     ledgers = {name: await fleet.read_ledger(name) for name in ("c1", "c2", "c3")}
     faults = find_ledger_faults(ledgers, layers=24)
     ran = [len(ledger) for ledger in ledgers.values()]
     return Row(
         what="layer pipeline over three targets",
         found=f"{arrived} tokens, {ran} steps, {len(faults)} faults in ledgers",
-        is_right=arrived == 20 and is_whole and ran == [20] * 3 and not faults,
+        is_right=arrived == 20 and is_complete and ran == [20] * 3 and not faults,
     )
 
 
@@ -142,12 +142,12 @@
     streaming = asyncio.create_task(_stream(fleet, "i3", 200))
     await asyncio.sleep(0.5)
     fleet.processes["i3"].send(signal.SIGTERM)
-    arrived, is_whole = await streaming
+    arrived, is_complete = await streaming
     status = await fleet.processes["i3"].child.wait()
     return Row(
         what="instance stopped in the middle of a stream",
-        found=f"{arrived} tokens, {'whole' if is_whole else 'cut'}, exit {status}",
-        is_right=arrived == 200 and is_whole and status == 0,
+        found=f"{arrived} tokens, {'whole' if is_complete else 'cut'}, exit {status}",
+        is_right=arrived == 200 and is_complete and status == 0,
     )
 
 
--- a/packages/standins/fulmarward_standins/engine/_app.py
+++ b/packages/standins/fulmarward_standins/engine/_app.py
@@ -278,7 +278,7 @@
 
 
 async def _apply_order(request: web.Request) -> web.Response:
-    """`PUT /v1/held`: load what the body wants, checked by its fencing number."""
+    """`PUT /v1/held`: load what `wanted` lists, unless its fencing number is old."""
     app, body = request.app, await request.json()
     held = app[_HELD]
     if app[_SPEC].checks_fencing and body["fencing"] < held["fencing"]:
--- a/packages/standins/fulmarward_standins/engine/_batch.py
+++ b/packages/standins/fulmarward_standins/engine/_batch.py
@@ -14,7 +14,7 @@
 )
 from fulmarward_standins.engine._spec import EngineSpec
 
-#: Most streams kept, so that callers can still resume ended ones.
+#: Maximum number of streams kept, so that callers can still resume ended ones.
 MAX_KEPT_STREAMS = 20_000
 
 StreamKey = tuple[str, int]
--- a/packages/standins/fulmarward_standins/engine/_cache.py
+++ b/packages/standins/fulmarward_standins/engine/_cache.py
@@ -11,7 +11,7 @@
 #: Words per cache block.
 BLOCK_WORDS = 16
 
-#: Most events kept for readers.
+#: Maximum number of events kept for readers.
 MAX_KEPT_EVENTS = 1024
 
 
--- a/packages/standins/fulmarward_standins/engine/_model.py
+++ b/packages/standins/fulmarward_standins/engine/_model.py
@@ -16,7 +16,7 @@
 
 _REQUESTED_TOKENS = re.compile(r"\[(\d+) tokens\]")
 
-#: Least tokens of a response to a prompt that does not request a length.
+#: Minimum number of tokens in a response to a prompt that requests no length.
 _MIN_TOKENS = 8
 
 
--- a/packages/standins/fulmarward_standins/engine/_steps.py
+++ b/packages/standins/fulmarward_standins/engine/_steps.py
@@ -10,7 +10,7 @@
     run_layers,
 )
 
-#: Most caches kept; the oldest are dropped first.
+#: Maximum number of caches kept; the oldest are dropped first.
 MAX_KEPT_CACHES = 20_000
 
 CacheKey = tuple[str, int, int]
--- a/packages/standins/fulmarward_standins/faults/_callers.py
+++ b/packages/standins/fulmarward_standins/faults/_callers.py
@@ -16,7 +16,7 @@
 #: Layers of the stand-in models.
 LAYERS = 24
 
-#: Most calls for one request before its caller gives up.
+#: Maximum number of calls for one request before its caller gives up.
 MAX_CALLS = 12
 
 #: Timeout of one call, in seconds; a frozen instance never answers.
--- a/packages/standins/fulmarward_standins/harness/_fleet.py
+++ b/packages/standins/fulmarward_standins/harness/_fleet.py
@@ -317,7 +317,7 @@
         await fleet.wait_ready(instance.name)
         await wait_until(
             lambda name=instance.name: fleet.considers_all_alive(name),
-            f"{instance.name} to know all instances",
+            f"{instance.name} to consider all instances alive",
         )
 
 
--- a/packages/standins/fulmarward_standins/harness/_ports.py
+++ b/packages/standins/fulmarward_standins/harness/_ports.py
@@ -32,7 +32,7 @@
 
     Without the lock, two fleets on one machine can find the same port free, because
     it is released before its process listens; one of the two instances then never
-    starts. The system releases the lock whenever this process ends.
+    starts. The system releases the lock when this process ends, however it ends.
     """
     blocks = list(range(FIRST_PORT, END_PORT, BLOCK_PORTS))
     _GENERATOR.shuffle(blocks)
@@ -45,7 +45,7 @@
             continue
         _LOCKED_BLOCKS[first] = lock
         return first
-    raise RuntimeError(f"expected a free block of ports, found {len(blocks)} held")
+    raise RuntimeError(f"expected a free block of ports, found {len(blocks)} locked")
 
 
 def _list_block_ports() -> list[int]:
--- a/packages/standins/fulmarward_standins/harness/tests/test_purity.py
+++ b/packages/standins/fulmarward_standins/harness/tests/test_purity.py
@@ -4,7 +4,7 @@
 
 _PACKAGES = Path(__file__).parents[4]
 
-#: Modules that decision code must not import: clocks, I/O, logging, randomness.
+#: Modules with which decision code could read a clock, a socket or a log, or do I/O.
 _IO_MODULES = {
     "asyncio",
     "socket",
