--- a/packages/instance/fulmarward/_daemon.py
+++ b/packages/instance/fulmarward/_daemon.py
@@ -211,7 +211,7 @@
 async def _stop_gracefully(instance: Instance, expedited: asyncio.Event) -> None:
     """Announce the stop, then wait for open requests until `stop_ms` has passed."""
     announce_leaving(instance)
-    log_event("stopping", open_requests=len(instance.answers))
+    log_event("shutdown_started", open_requests=len(instance.answers))
     await _wait_unless_expedited(expedited, LEAVING_NOTICE_S)
     instance.lifecycle.begin_stop()
     deadline = instance.read_clock() + instance.settings.limits.stop_ms / 1000
@@ -222,7 +222,7 @@
     cut_off = len(list_open_answers(instance))
     instance.lifecycle.finish_stop()
     await fail_open_answers(instance)
-    log_event("stopped", cut_off=cut_off)
+    log_event("instance_stopped", cut_off=cut_off)
 
 
 async def _wait_unless_expedited(expedited: asyncio.Event, seconds: float) -> None:
@@ -253,7 +253,7 @@
                 instance, make_operator_app(instance), settings.operator_address
             ),
         ]
-        log_event("started", boot=instance.member.boot)
+        log_event("instance_started", boot=instance.member.boot)
         tasks = [
             _start_task("membership", run_membership(instance, links), stop),
             _start_task("adoption", run_adoption(instance, links), stop),
@@ -292,7 +292,7 @@
     def handle_end(task: asyncio.Task) -> None:
         if not task.cancelled() and task.exception() is not None:
             log_event(
-                "duty_failed",
+                "background_task_failed",
                 level=logging.CRITICAL,
                 duty=name,
                 exc_info=task.exception(),
--- a/packages/instance/fulmarward/callers/_completions.py
+++ b/packages/instance/fulmarward/callers/_completions.py
@@ -117,7 +117,7 @@
     code = answer.failure.code if answer.failure else ResultCode.OK
     instance.metrics.requests.inc({"kind": "completion", "result": str(code.value)})
     log_event(
-        "request_end",
+        "request_ended",
         request=work.request,
         team=work.team,
         pipeline=work.pipeline_name,
--- a/packages/instance/fulmarward/callers/_release.py
+++ b/packages/instance/fulmarward/callers/_release.py
@@ -34,7 +34,7 @@
     if answer.readers or answer.unread_since != unread_since:
         return
     if not answer.is_over:
-        log_event("abandoned", request=answer.request, tokens=len(answer.texts))
+        log_event("request_abandoned", request=answer.request, tokens=len(answer.texts))
         instance.metrics.requests.inc(
             {"kind": "completion", "result": str(ResultCode.ABANDONED.value)}
         )
--- a/packages/instance/fulmarward/callers/_resume.py
+++ b/packages/instance/fulmarward/callers/_resume.py
@@ -67,7 +67,7 @@
     answer = instance.answers.get(work.request)
     is_here = answer is not None and answer.team == work.team
     log_event(
-        "resume",
+        "resume_requested",
         request=work.request,
         attempt=locator.attempt,
         team=work.team,
--- a/packages/instance/fulmarward/callers/_services.py
+++ b/packages/instance/fulmarward/callers/_services.py
@@ -104,7 +104,7 @@
         end = await _execute(instance, request, call)
     code = end.failure.code if end.failure else ResultCode.OK
     instance.metrics.requests.inc({"kind": "service", "result": str(code.value)})
-    log_event("call_end", request=end.request, team=team, result=code.value)
+    log_event("call_ended", request=end.request, team=team, result=code.value)
     headers = {"X-Request-Id": end.request}
     if end.failure is not None:
         response = make_failure_response(end.failure)
--- a/packages/instance/fulmarward/configuration/_adopt.py
+++ b/packages/instance/fulmarward/configuration/_adopt.py
@@ -190,7 +190,11 @@
     if not is_newest_known(
         [None if reply is None else reply.is_confirmed for reply in answers.values()]
     ):
-        log_event("configuration_unknown", level=logging.WARNING, reason=row.detail)
+        log_event(
+            "configuration_confirmation_failed",
+            level=logging.WARNING,
+            reason=row.detail,
+        )
         return False
     return await _adopt_highest(instance, links, answers)
 
--- a/packages/instance/fulmarward/configuration/_apply.py
+++ b/packages/instance/fulmarward/configuration/_apply.py
@@ -140,7 +140,7 @@
         applied_at=round(instance.read_wall_clock(), 3),
     )
     step = decide_apply(current=current, wanted=head, base_epoch=wanted.base_epoch)
-    log_event("apply_step", apply_id=wanted.apply_id, step=step.value)
+    log_event("apply_step_chosen", apply_id=wanted.apply_id, step=step.value)
     if step in (ApplyStep.DONE, ApplyStep.UNCHANGED):
         return Applied(head=current, is_unchanged=step is ApplyStep.UNCHANGED)
     if step is ApplyStep.SEARCH_HISTORY:
--- a/packages/instance/fulmarward/configuration/_bodies.py
+++ b/packages/instance/fulmarward/configuration/_bodies.py
@@ -69,7 +69,7 @@
             return body
         source = sources.pop(0)
         log_event(
-            "body_refused",
+            "body_fetch_failed",
             level=logging.WARNING,
             hash=content_hash,
             source=source.name,
--- a/packages/instance/fulmarward/configuration/_readiness.py
+++ b/packages/instance/fulmarward/configuration/_readiness.py
@@ -30,7 +30,9 @@
     if instance.has_paused():
         instance.pauses += 1
         restart_suspicions(instance.members, now=instance.read_clock())
-        log_event("paused", level=logging.WARNING, pauses=instance.pauses)
+        log_event(
+            "process_pause_detected", level=logging.WARNING, pauses=instance.pauses
+        )
         if instance.lifecycle.state == "serving":
             instance.lifecycle.begin_check()
     instance.ticked_at = instance.read_pause_clock()
@@ -46,7 +48,7 @@
     is_wanted = instance.lifecycle.state in _UNCONFIRMED_STATES
     if is_known and is_wanted and instance.pauses == pauses:
         instance.lifecycle.become_ready()
-        log_event("serving", epoch=instance.snapshot.head.epoch)
+        log_event("serving_started", epoch=instance.snapshot.head.epoch)
         return
     delay = CONFIRM_RETRY_S * instance.generator.uniform(0.5, 1.5)
     try:
--- a/packages/instance/fulmarward/configuration/tests/test_processes.py
+++ b/packages/instance/fulmarward/configuration/tests/test_processes.py
@@ -71,7 +71,7 @@
         for name in ("i1", "i3"):
             await fleet.processes[name].kill()
         await _restart(fleet, "i2")
-        await _wait_for_log(fleet, "i2", "configuration_unknown")
+        await _wait_for_log(fleet, "i2", "configuration_confirmation_failed")
         self.assertFalse(await fleet.is_ready("i2"))
         await fleet.control_platform(outage=False)
         await fleet.wait_ready("i2")
--- a/packages/instance/fulmarward/health/_drains.py
+++ b/packages/instance/fulmarward/health/_drains.py
@@ -71,7 +71,11 @@
         if isinstance(outcome, LeavingRecord):
             merge_records(instance, [outcome])
             log_event(
-                "drain", target=target, drained=drained, by=by, version=outcome.version
+                "drain_changed",
+                target=target,
+                drained=drained,
+                by=by,
+                version=outcome.version,
             )
         if outcome is not None:
             return outcome
--- a/packages/instance/fulmarward/health/_leaving.py
+++ b/packages/instance/fulmarward/health/_leaving.py
@@ -30,7 +30,7 @@
         return
     view.leaving = leaving
     sources = [source.name.lower() for source in list_sources(instance.leaving, name)]
-    log_event("target_leaving", target=name, leaving=leaving, sources=sources)
+    log_event("target_leaving_changed", target=name, leaving=leaving, sources=sources)
 
 
 def _request_report(instance: Instance, name: str) -> None:
--- a/packages/instance/fulmarward/keys/_calls.py
+++ b/packages/instance/fulmarward/keys/_calls.py
@@ -189,7 +189,7 @@
                 return item
     except PeerLost as lost:
         log_event(
-            "home_lost",
+            "home_call_failed",
             request=call.request,
             home=key.prefix.home.name,
             reason=str(lost),
--- a/packages/instance/fulmarward/keys/_home.py
+++ b/packages/instance/fulmarward/keys/_home.py
@@ -67,7 +67,7 @@
         now=instance.read_wall_clock(),
     )
     instance.metrics.decisions.inc({"kind": "key", "reason": claim.value})
-    log_event("key", request=request, team=team, reason=claim.value)
+    log_event("key_claim_decided", request=request, team=team, reason=claim.value)
     if claim is ClaimDecision.REPORT_OUTCOME:
         return entry, False, entry.outcome
     if claim in _CLAIM_CODES:
--- a/packages/instance/fulmarward/keys/_relay.py
+++ b/packages/instance/fulmarward/keys/_relay.py
@@ -167,7 +167,10 @@
 
 def _log_home_lost(work: CompletionRequest, key: IssuedKey, reason: str) -> None:
     log_event(
-        "home_lost", request=work.request, home=key.prefix.home.name, reason=reason
+        "home_call_failed",
+        request=work.request,
+        home=key.prefix.home.name,
+        reason=reason,
     )
 
 
--- a/packages/instance/fulmarward/keys/_takeover.py
+++ b/packages/instance/fulmarward/keys/_takeover.py
@@ -49,7 +49,7 @@
     record = taken.record
     conclusion = conclude_takeover(record)
     log_event(
-        "take_over",
+        "takeover_concluded",
         request=record.request if record and record.request else request,
         witness=key.prefix.witness.name if key.prefix.witness else None,
         reason=conclusion.value,
--- a/packages/instance/fulmarward/keys/_witness.py
+++ b/packages/instance/fulmarward/keys/_witness.py
@@ -80,7 +80,7 @@
         now=instance.read_wall_clock(),
     )
     log_event(
-        "key_taken",
+        "key_taken_over",
         by=peer.name,
         request=record.request if record else None,
         reason=record.state.value if record else "too_old",
@@ -129,7 +129,7 @@
     try:
         return await instance.links.call(address, message, ANSWER_TIMEOUT_S)
     except PeerLost as lost:
-        log_event("witness_lost", witness=witness.name, reason=str(lost))
+        log_event("witness_call_failed", witness=witness.name, reason=str(lost))
         return None
 
 
--- a/packages/instance/fulmarward/membership/_heartbeats.py
+++ b/packages/instance/fulmarward/membership/_heartbeats.py
@@ -95,7 +95,7 @@
         instance, links, member.name, member.peer_address
     )
     log_event(
-        "neighbour_silent",
+        "heartbeat_missed",
         level=logging.WARNING,
         member=member.name,
         misses=misses,
--- a/packages/instance/fulmarward/membership/_updates.py
+++ b/packages/instance/fulmarward/membership/_updates.py
@@ -47,7 +47,7 @@
 
 def _log_member(member: Member) -> None:
     log_event(
-        "member",
+        "member_changed",
         member=member.name,
         boot=member.boot,
         version=member.version,
--- a/packages/instance/fulmarward/observability/tests/test_traces.py
+++ b/packages/instance/fulmarward/observability/tests/test_traces.py
@@ -6,7 +6,7 @@
 
 
 def _make_record(request, **fields):
-    values = {"msg": "route", "created": 1.5, "request": request, **fields}
+    values = {"msg": "routing_decided", "created": 1.5, "request": request, **fields}
     return logging.makeLogRecord(values)
 
 
@@ -17,7 +17,7 @@
         traces.emit(_make_record("r2", chosen="e2"))
         expected = {
             "at": 1.5,
-            "event": "route",
+            "event": "routing_decided",
             "request": "r1",
             "chosen": "e1",
             "reason": "lower_score",
--- a/packages/instance/fulmarward/operators/_server.py
+++ b/packages/instance/fulmarward/operators/_server.py
@@ -194,7 +194,7 @@
         return web.json_response({"lines": lines})
 
     async def drain(request: web.Request) -> web.Response:
-        log_event("drain", address=request.remote)
+        log_event("drain_requested", address=request.remote)
         instance.stop_requested.set()
         return web.json_response(
             {"name": instance.settings.name, "open_requests": len(instance.answers)}
@@ -209,10 +209,12 @@
             return make_failure_response(failure)
         outcome = await apply_declaration(instance, wanted)
         if isinstance(outcome, Failure):
-            log_event("apply", apply_id=wanted.apply_id, result=outcome.code.value)
+            log_event(
+                "apply_finished", apply_id=wanted.apply_id, result=outcome.code.value
+            )
             return make_failure_response(outcome)
         log_event(
-            "apply",
+            "apply_finished",
             apply_id=wanted.apply_id,
             by=wanted.applied_by,
             epoch=outcome.head.epoch,
--- a/packages/instance/fulmarward/placement/_lease.py
+++ b/packages/instance/fulmarward/placement/_lease.py
@@ -132,7 +132,7 @@
     )
     if is_acquired:
         fencing = keeper.state.fencing
-        log_event("lease_taken", pool=keeper.pool, fencing=fencing)
+        log_event("lease_acquired", pool=keeper.pool, fencing=fencing)
 
 
 async def step_lease(instance: Instance, keeper: LeaseKeeper) -> float:
--- a/packages/instance/fulmarward/placement/_pool.py
+++ b/packages/instance/fulmarward/placement/_pool.py
@@ -260,7 +260,9 @@
     if not is_holder(instance, keeper) or keeper.state.fencing != fencing:
         log_event("order_dropped", reason="lease_lapsed", **log_fields)
         return
-    log_event("order", reason=action.reason, version=wanted.version, **log_fields)
+    log_event(
+        "order_issued", reason=action.reason, version=wanted.version, **log_fields
+    )
     outcome = await send_order(
         instance.session,
         target.address,
@@ -311,7 +313,7 @@
             continue
         is_drain = action.kind is ActionKind.DRAIN
         log_event(
-            "placement",
+            "placement_drain_changed",
             pool=placement.keeper.pool,
             target=action.target,
             action=action.kind.value,
@@ -424,6 +426,6 @@
         if is_holding:
             await _run_iteration(instance, links, placement)
         elif was_holder:
-            log_event("placement_rests", pool=placement.keeper.pool)
+            log_event("placement_ended", pool=placement.keeper.pool)
         was_holder = is_holding
         await asyncio.sleep(LOOP_INTERVAL_S * instance.generator.uniform(0.8, 1.2))
--- a/packages/instance/fulmarward/placement/_status.py
+++ b/packages/instance/fulmarward/placement/_status.py
@@ -83,7 +83,7 @@
     )
     is_written = isinstance(outcome, Committed)
     if is_written:
-        log_event("placement_status", pool=keeper.pool, **vars(status))
+        log_event("placement_status_written", pool=keeper.pool, **vars(status))
     return is_written
 
 
--- a/packages/instance/fulmarward/placement/tests/test_placement.py
+++ b/packages/instance/fulmarward/placement/tests/test_placement.py
@@ -167,7 +167,7 @@
             holder = fleet.processes[settled["holder"]]
 
             async def has_lapsed():
-                return "placement_rests" in holder.log.read_text()
+                return "placement_ended" in holder.log.read_text()
 
             await wait_until(has_lapsed, "the lease to lapse")
             held = await _read_held(fleet, "e1")
--- a/packages/instance/fulmarward/requests/_admit.py
+++ b/packages/instance/fulmarward/requests/_admit.py
@@ -122,7 +122,7 @@
     reason = result.code.name.lower() if is_refused else _describe_share(result)
     instance.metrics.decisions.inc({"kind": "admit", "reason": reason})
     log_event(
-        "admit",
+        "admission_decided",
         request=pending.work.request,
         team=pending.work.team,
         pipeline=pending.work.pipeline_name,
@@ -241,7 +241,7 @@
     for name, reason in review_pool(pool, now=instance.read_clock()):
         instance.metrics.decisions.inc({"kind": "set_aside", "reason": reason})
         log_event(
-            "set_aside",
+            "target_set_aside",
             target=name,
             reason=reason,
             seconds=pool[name].aside_s,
--- a/packages/instance/fulmarward/requests/_attempt.py
+++ b/packages/instance/fulmarward/requests/_attempt.py
@@ -210,7 +210,7 @@
         failures += 1
         stream = await _reattach(instance, work, attempt)
         log_event(
-            "reattach",
+            "stream_reattach_attempted",
             request=work.request,
             attempt=attempt.number,
             target=attempt.view.name,
--- a/packages/instance/fulmarward/requests/_call.py
+++ b/packages/instance/fulmarward/requests/_call.py
@@ -74,7 +74,7 @@
         generator=instance.generator,
     )
     log_event(
-        "route",
+        "routing_decided",
         request=call.request,
         attempt=attempt,
         team=call.team,
--- a/packages/instance/fulmarward/requests/_chain.py
+++ b/packages/instance/fulmarward/requests/_chain.py
@@ -148,7 +148,7 @@
         instance, stage, offer.target, request=work.request, attempt=attempt.number
     )
     log_event(
-        "move_stage",
+        "stage_move_attempted",
         request=work.request,
         attempt=attempt.number,
         position=attempt.received,
--- a/packages/instance/fulmarward/requests/_chain_choice.py
+++ b/packages/instance/fulmarward/requests/_chain_choice.py
@@ -88,7 +88,7 @@
     reason = "least_cost" if chain else "no_open_chain"
     instance.metrics.decisions.inc({"kind": "route_chain", "reason": reason})
     log_event(
-        "route_chain",
+        "chain_routing_decided",
         request=work.request,
         attempt=attempt,
         team=work.team,
--- a/packages/instance/fulmarward/requests/_chain_end.py
+++ b/packages/instance/fulmarward/requests/_chain_end.py
@@ -77,7 +77,7 @@
 ) -> Failure:
     """Close the attempt at all stages before a new one starts; return the failure."""
     log_event(
-        "chain_lost",
+        "chain_failed",
         request=work.request,
         attempt=attempt.number,
         target=lost.stage.target,
--- a/packages/instance/fulmarward/requests/_route.py
+++ b/packages/instance/fulmarward/requests/_route.py
@@ -73,7 +73,7 @@
     reason = choice.reason if choice else "no_open_target"
     instance.metrics.decisions.inc({"kind": "route", "reason": reason})
     log_event(
-        "route",
+        "routing_decided",
         request=work.request,
         attempt=attempt,
         team=work.team,
--- a/packages/router/fulmarward_router/_lookup.py
+++ b/packages/router/fulmarward_router/_lookup.py
@@ -67,7 +67,7 @@
         if request.path == "/status":
             body = orjson.dumps(describe(), option=orjson.OPT_INDENT_2)
             return web.Response(body=body, content_type="application/json")
-        log_event("operator_path_unknown", path=request.path)
+        log_event("operator_request_refused", path=request.path)
         return web.Response(status=404)
 
     return answer
--- a/packages/router/fulmarward_router/daemon.py
+++ b/packages/router/fulmarward_router/daemon.py
@@ -372,7 +372,7 @@
     async def run(self) -> bool:
         """Serve until a stop is requested; return whether a background task failed."""
         settings = self.settings
-        log_event("started", boot=self.own.boot, first=settings.is_first_start)
+        log_event("instance_started", boot=self.own.boot, first=settings.is_first_start)
         self.meter.install(asyncio.get_running_loop())
         servers = await self._listen()
         peer_server = None
@@ -404,7 +404,7 @@
             peer_server.close()
         for runner in servers:
             await runner.cleanup()
-        log_event("stopped")
+        log_event("instance_stopped")
         return self._has_failed
 
     async def _listen(self) -> list[web.ServerRunner]:
@@ -449,7 +449,7 @@
             await asyncio.sleep(0.02)
         if self.life.state == "starting":
             self.life.become_ready()
-            log_event("ready", configuration=self.configuration.version)
+            log_event("serving_started", configuration=self.configuration.version)
             self._notify_peers()
 
     async def _follow_settings(self) -> None:
@@ -489,7 +489,9 @@
         grace_s = self.settings.grace_s
         self.life.begin_stop()
         self._notify_peers()
-        log_event("stopping", open_requests=self.caller_handler.open_requests.total())
+        log_event(
+            "shutdown_started", open_requests=self.caller_handler.open_requests.total()
+        )
         withdrawal = asyncio.create_task(self.rows.withdraw())
         while True:
             await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
@@ -506,7 +508,7 @@
                 break
         withdrawal.cancel()
         self.life.finish_stop()
-        log_event("stop_ends", cut=self.caller_handler.open_requests.total())
+        log_event("grace_period_ended", cut=self.caller_handler.open_requests.total())
 
     def _start(self, name: str, coroutine: Coroutine[None, None, None]) -> asyncio.Task:
         """Start a background task; if it fails, the instance stops."""
@@ -515,7 +517,7 @@
             if task.cancelled() or task.exception() is None:
                 return
             log_event(
-                "duty_failed",
+                "background_task_failed",
                 level=logging.CRITICAL,
                 duty=name,
                 exc_info=task.exception(),
--- a/packages/router/fulmarward_router/exchange/_caller_handler.py
+++ b/packages/router/fulmarward_router/exchange/_caller_handler.py
@@ -145,7 +145,9 @@
             raise
         except Exception as error:
             outcome = f"error: {error!r}"
-            log_event("request_error", exc_info=error, request=_get_request_id(state))
+            log_event(
+                "internal_error_caught", exc_info=error, request=_get_request_id(state)
+            )
             raise ConnectionResetError("internal error") from error
         finally:
             self._record_end(state, outcome, arrived_at)
--- a/packages/router/fulmarward_router/exchange/_engines.py
+++ b/packages/router/fulmarward_router/exchange/_engines.py
@@ -293,7 +293,7 @@
         self._suspicions.record_saturated(at_fault, now=now)
         if self._finder.has_capacity(at_fault, attempt.engine):
             if self._suspicions.refusals.record_refusal(at_fault, now=now):
-                log_event("target_refusing", target=at_fault, status=status)
+                log_event("target_refusal_recorded", target=at_fault, status=status)
         if is_elsewhere and status == 503 and not is_stalled:
             await self._failure_detector.probe_and_wait(path)
 
--- a/packages/router/fulmarward_router/exchange/_failover.py
+++ b/packages/router/fulmarward_router/exchange/_failover.py
@@ -180,7 +180,11 @@
 
     def _log_lateness(self, late_s: float) -> None:
         if late_s > LOGGED_LATENESS_S:
-            log_event("loop_late", late_s=round(late_s, 4), streams=len(self._attempts))
+            log_event(
+                "event_loop_delayed",
+                late_s=round(late_s, 4),
+                streams=len(self._attempts),
+            )
 
     def _drain_leaving_targets(self, now: float) -> None:
         """Reroute one stream around the leaving targets, if any passes through them.
@@ -271,7 +275,7 @@
                 return
             error = task.exception()
             if not isinstance(error, AttemptFailed):
-                log_event("request_error", exc_info=error, request=None)
+                log_event("internal_error_caught", exc_info=error, request=None)
                 error = AttemptFailed(cause=repr(error), is_not_run=False)
             attempt.abort(error)
 
--- a/packages/router/fulmarward_router/mesh/_heartbeats.py
+++ b/packages/router/fulmarward_router/mesh/_heartbeats.py
@@ -250,7 +250,7 @@
                 link.pong, link.pinged_at = await connection.ping(), now
         elif now - unanswered_since >= PING_TIMEOUT_S:
             log_event(
-                "peer_link_silent", peer=link.address, for_s=now - unanswered_since
+                "peer_link_timed_out", peer=link.address, for_s=now - unanswered_since
             )
             connection.transport.abort()
 
--- a/packages/router/fulmarward_router/mesh/_links.py
+++ b/packages/router/fulmarward_router/mesh/_links.py
@@ -168,7 +168,7 @@
         is_hub = self._members.is_hub(may_be_hub=may_be_hub, now=now)
         if is_hub != self._sender.is_hub:
             self._sender.is_hub = is_hub
-            log_event("hub_changed", is_hub=is_hub, links=len(self._wanted))
+            log_event("hub_role_changed", is_hub=is_hub, links=len(self._wanted))
         for address in self._wanted:
             self._dial(address, is_seed=False)
         self._close_unwanted(now)
@@ -250,7 +250,7 @@
                     compression=None,
                     proxy=None,
                 ) as link:
-                    log_event("peer_linked", peer=address)
+                    log_event("peer_link_opened", peer=address)
                     pause_s, attempts = RETRY_S, SEED_ATTEMPTS
                     await self._run_dialled_link(link, address)
             except (OSError, TimeoutError, WebSocketException) as error:
@@ -306,7 +306,7 @@
             try:
                 message = self._decode(data)
             except InvalidMessageError as error:
-                log_event("peer_message_invalid", cause=str(error))
+                log_event("peer_message_refused", cause=str(error))
                 continue
             await self._handle_message(receiver, message)
 
--- a/packages/router/fulmarward_router/placement/_lease.py
+++ b/packages/router/fulmarward_router/placement/_lease.py
@@ -154,7 +154,7 @@
             before.phase is Phase.WATCHING or before.fencing != self._state.fencing
         )
         if is_new:
-            log_event("lease_taken", fencing=self._state.fencing)
+            log_event("lease_acquired", fencing=self._state.fencing)
 
     async def _read(self) -> LeaseEvent:
         try:
@@ -189,6 +189,6 @@
                 lease=Lease(**orjson.loads(row.value)), version=row.version
             )
         except (ValueError, TypeError) as error:
-            log_event("lease_row_wrong", cause=str(error))
+            log_event("lease_row_refused", cause=str(error))
             return LeaseRead(lease=ABSENT_LEASE, version=row.version)
     return LeaseRead(lease=ABSENT_LEASE, version=0)
--- a/packages/router/fulmarward_router/placement/_placer.py
+++ b/packages/router/fulmarward_router/placement/_placer.py
@@ -289,7 +289,7 @@
         if previous.keys() != set(layers):
             service, data_centre = key
             log_event(
-                "layers_missing",
+                "missing_layers_changed",
                 service=service,
                 data_centre=data_centre,
                 missing=[f"{gap.start}-{gap.end}" for gap in gaps],
--- a/packages/router/fulmarward_router/state/_instances.py
+++ b/packages/router/fulmarward_router/state/_instances.py
@@ -93,7 +93,7 @@
     try:
         name, boot, data_centre, peer_address, caller_address = cbor2.loads(value)
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
-        log_event("instance_row_invalid", cause=repr(error))
+        log_event("instance_row_refused", cause=repr(error))
         return None
     return InstanceIdentity(
         name=name,
--- a/packages/router/fulmarward_router/state/_watch.py
+++ b/packages/router/fulmarward_router/state/_watch.py
@@ -107,7 +107,7 @@
                     wait_s = RECHECK_WAIT_S if has_changes else CONFIGURATION_WAIT_S
                     read = await self._store.follow_table(table, version, wait_s)
             except HistoryExpired:
-                log_event("history_gone", table=table, version=version)
+                log_event("history_expired", table=table, version=version)
                 version = None
                 continue
             except (StoreRefused, ReplyLost) as error:
@@ -153,7 +153,7 @@
                 is_complete = True
             except HistoryExpired:
                 log_event(
-                    "history_gone",
+                    "history_expired",
                     table=self._store.targets_table,
                     version=self._catalogue.version,
                 )
