--- a/packages/instance/fulmarward/health/_gossip.py
+++ b/packages/instance/fulmarward/health/_gossip.py
@@ -21,8 +21,8 @@
 from fulmarward_core.health import LeavingRecord, compute_leaving_digest
 from fulmarward_core.membership import Member, select_neighbours
 
-#: Seconds between two rounds. New records don't wait for a round, so that 330 instances
-#: with 9 neighbours each can stay within the budget of 4 KB/s.
+#: Seconds between two rounds. With 330 instances and 9 neighbours each, rounds must fit
+#: the budget of 4 KB/s. They may be rare, as new records don't wait for a round.
 ROUND_INTERVAL_S = 3.0
 
 #: Seconds to wait for a peer's answer.
--- a/packages/instance/fulmarward/keys/_witness.py
+++ b/packages/instance/fulmarward/keys/_witness.py
@@ -32,7 +32,7 @@
 ANSWER_TIMEOUT_S = 1.0
 
 #: Seconds added to the age of a record, since the clocks of instance and engine may run
-#: at different rates. An engine that started shortly before the record then counts as
+#: at different rates: an engine that started just after the record must still count as
 #: restarted since the record.
 AGE_MARGIN_S = 1.0
 
--- a/packages/instance/fulmarward/targets/_orders.py
+++ b/packages/instance/fulmarward/targets/_orders.py
@@ -21,7 +21,7 @@
 class OrderRefused:
     """The engine rejected the order."""
 
-    #: Its error; `old_fencing` if it has accepted an order with a newer fencing token.
+    #: Its error; `old_fencing` if it has accepted an order with a newer fencing number.
     detail: str
 
 
--- a/packages/router/fulmarward_router/mesh/_messages.py
+++ b/packages/router/fulmarward_router/mesh/_messages.py
@@ -54,8 +54,8 @@
     #: confirmed it (-1: never).
     configuration_version: int
     configuration_age_ms: int
-    #: Version of the store up to which it has all changes of targets, and ms since that
-    #: was confirmed (-1: never).
+    #: Version of the store after which it knows of no change of the targets' content,
+    #: and ms since that was confirmed (-1: never).
     targets_version: int
     targets_age_ms: int
     is_store_reachable: bool
--- a/packages/router/fulmarward_router/placement/_lease.py
+++ b/packages/router/fulmarward_router/placement/_lease.py
@@ -83,7 +83,7 @@
 
     @property
     def fencing(self) -> int:
-        """The fencing token that orders carry."""
+        """The fencing number that orders carry."""
         return self._state.fencing
 
     @property
